--- a/crates/tidewall-gateway/src/discovery.rs
+++ b/crates/tidewall-gateway/src/discovery.rs
@@ -1,5 +1,6 @@
-//! The discovery client: connects to the discovery server, polls or watches it, and takes over the endpoint lists that it
-//! sends. The scheduler is told as of when the server's answers prove the list, and when the next one is due.
+//! The discovery client: connects to the discovery server, polls or watches it, and applies the endpoint
+//! lists that it sends. It tells the scheduler as of which time the server's answers confirm the list, and
+//! when the next confirmation is due.
 use crate::connection_owners::Owner;
 use crate::endpoints::EndpointRecord;
 use crate::error::ProtocolError;
@@ -10,22 +11,23 @@
 use tidewall_net::{CloseReason, Conn, Net, Time, TimerId};
 use tracing::{debug, info, warn};
 
-/// Is given the endpoint list after each change; returns false where it cannot take it now, and is given it again later.
+/// Called with the endpoint list after each change. Returns false if it cannot take the list at the moment;
+/// it is then called again later.
 pub type EndpointWatcher = Box<dyn FnMut(&[EndpointRecord]) -> bool + Send>;
 
-/// Where the endpoint list comes from, and the connection to it.
+/// The source of the endpoint list, and the connection to it.
 pub(crate) struct DiscoveryClient {
     pub(crate) source: Box<dyn DiscoverySource>,
-    /// The connection, open or being opened; none while a retry is awaited.
+    /// The connection, open or being opened; none while waiting to retry.
     pub(crate) conn: Option<Conn>,
     connect_timeout: Time,
-    /// How often it was connected.
+    /// Number of connections opened so far.
     pub(crate) attempts: u64,
-    /// The server owes an answer until this timer fires.
+    /// Fires if the server does not answer within its protocol's timeout.
     response_timer: Option<TimerId>,
-    /// When the last poll was written.
+    /// When the last poll was sent.
     polled_at: Time,
-    /// Since when the list has been overdue, as far as it was logged.
+    /// Since when the list has been overdue; none once its confirmation was logged.
     overdue_since: Option<Time>,
 }
 
@@ -53,7 +55,7 @@
         self.discovery.conn = Some(conn);
     }
 
-    /// The connection is open: the list is asked for.
+    /// Handles the opened connection: subscribes to the endpoint list.
     pub(crate) fn discovery_connected(&mut self, conn: Conn) {
         let watches = self.context.scheduler.host.watches_endpoints;
         if self.discovery.source.is_native() {
@@ -72,17 +74,19 @@
             .source
             .write_subscription(&mut message, &identity, watches);
         self.context.net().write(conn, &message);
-        self.poll_written();
+        self.poll_sent();
     }
 
-    /// A poll leaves: its answer is awaited from now on.
-    fn poll_written(&mut self) {
+    /// Records that a poll was sent, and starts the timeout for its answer.
+    fn poll_sent(&mut self) {
         self.discovery.polled_at = self.context.net().now();
         self.arm_discovery_timeout();
     }
 
-    /// The list is what the server had so long after it was asked, which is all that its answer proves. While answers come in
-    /// time the next one is due; one that came late was held up, and the next one may be.
+    /// Handles an answer that confirms the list. It proves only that the list is as the server had it
+    /// `after_poll` after the poll was sent. If the answer came in time, the next one is due one period
+    /// from now. If it came late it was held up on the way, and the next one may be held up too, so the
+    /// period counts from the poll.
     fn list_confirmed(&mut self, after_poll: Time) {
         let Some(due) = self.discovery.source.answer_due() else {
             return;
@@ -94,25 +98,26 @@
         let scheduler = &mut self.context.scheduler;
         scheduler.advance_clock(now);
         scheduler.endpoint_list_confirmed(as_of, due_at);
-        self.note_list_age();
+        self.update_list_overdue();
     }
 
-    /// Before the first answer nothing proves the list that the gateway is started with, where its age is to be known.
-    pub(crate) fn expect_list_confirmation(&mut self) {
+    /// Marks the initial list as unconfirmed until the first answer, if the source knows the age of its
+    /// lists.
+    pub(crate) fn mark_list_unconfirmed(&mut self) {
         if self.discovery.source.answer_due().is_some() {
             self.context.scheduler.endpoint_list_confirmed(0, 0);
         }
     }
 
     /// Logs when the list becomes overdue, and when it is confirmed again.
-    pub(crate) fn note_list_age(&mut self) {
+    pub(crate) fn update_list_overdue(&mut self) {
         let now = self.context.net().now();
         self.context.scheduler.advance_clock(now);
         let is_overdue = self.context.scheduler.is_endpoint_list_overdue();
         match (is_overdue, self.discovery.overdue_since) {
             (true, None) => {
                 self.discovery.overdue_since = Some(now);
-                warn!(address = %self.discovery.source.address(), "endpoint list overdue: workers are asked themselves");
+                warn!(address = %self.discovery.source.address(), "endpoint list overdue: workers are queried directly");
             }
             (false, Some(since)) => {
                 self.discovery.overdue_since = None;
@@ -127,7 +132,8 @@
         }
     }
 
-    /// The last list holds; the scheduler is told that updates may be missing, and the server is tried again later.
+    /// Handles the end of the connection: the last list stays in use, the scheduler is told that updates
+    /// may be missing, and the connection is retried after a delay.
     pub(crate) fn discovery_connection_closed(&mut self, reason: CloseReason) {
         warn!(?reason, address = %self.discovery.source.address(), "discovery connection closed");
         self.discovery.conn = None;
@@ -142,14 +148,14 @@
         self.context.scheduler.endpoint_update_failed();
     }
 
-    /// The retry delay is over. A reload may have connected meanwhile.
+    /// Reconnects after the retry delay, unless a reload has connected already.
     pub(crate) fn retry_discovery(&mut self) {
         if self.discovery.conn.is_none() {
             self.connect_discovery();
         }
     }
 
-    /// The server has not answered in time: that counts as the end of the connection.
+    /// The server did not answer in time, which counts as the end of the connection.
     pub(crate) fn discovery_timed_out(&mut self) {
         self.discovery.response_timer = None;
         if let Some(conn) = self.discovery.conn {
@@ -159,7 +165,7 @@
         }
     }
 
-    /// The server owes an answer from now on, where its protocol has a timeout.
+    /// Starts the timeout for the server's answer, if its protocol has one.
     fn arm_discovery_timeout(&mut self) {
         self.cancel_discovery_timeout();
         if let Some(timeout) = self.discovery.source.silence_timeout() {
@@ -175,7 +181,7 @@
         }
     }
 
-    /// SIGHUP: the settings are read again. Connects anew where the server's address has changed.
+    /// Handles SIGHUP: reads the settings again, and reconnects if the server's address has changed.
     pub(crate) fn reload_discovery(&mut self) {
         if !self.discovery.source.reload() {
             return;
@@ -189,7 +195,8 @@
         self.connect_discovery();
     }
 
-    /// Reads one message of the server and gives its length; none while it is incomplete. The next poll leaves with it.
+    /// Reads one message from the server and returns its length; none while it is incomplete. The next poll
+    /// is sent afterwards.
     pub(crate) fn read_discovery_message(
         &mut self,
         conn: Conn,
@@ -212,13 +219,13 @@
                 self.connect_discovery();
             } else if !poll.is_empty() {
                 self.context.net().write(conn, &poll);
-                self.poll_written();
+                self.poll_sent();
             }
         }
         Ok(read)
     }
 
-    /// Takes over an endpoint list, or changes of one where it is not `complete`.
+    /// Applies an endpoint list, or changes to the list if not `complete`.
     pub fn update_endpoints(&mut self, records: &[EndpointRecord], complete: bool) {
         let pool = &mut self.context.scheduler.host;
         let (now, started) = (pool.net.now(), pool.net.current_time());
@@ -236,14 +243,15 @@
         self.context.scheduler.host.redistribute_connections();
         self.schedule_cache_write();
         self.notify_endpoint_watcher();
-        // What is decided from now on knows the list: nothing of it is to be withdrawn for what the list said.
+        // Calls that were decided before this list are withdrawn here. Later decisions take the list into
+        // account, so they must not be withdrawn because of it.
         self.deliver_deferred_outcomes();
         let took = self.context.net().current_time() - started;
         let records = records.len();
         debug!(records, complete, took, "endpoint list applied");
     }
 
-    /// Sets the watcher, which is given the endpoint list now and after each change.
+    /// Sets the watcher, which is called with the endpoint list immediately and after each change.
     pub fn watch_endpoints(&mut self, watcher: EndpointWatcher) {
         self.endpoint_watcher = Some(watcher);
         self.notify_endpoint_watcher();
--- a/crates/tidewall-gateway/src/drain.rs
+++ b/crates/tidewall-gateway/src/drain.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: a grace period in which requests are still admitted, then draining, then the end of the process once
-//! nothing is in flight and the responses have been read.
+//! Graceful shutdown: a grace period in which requests are still admitted, then draining, then the end of
+//! the process once nothing is in flight and clients have received their responses.
 use crate::connection_owners::Owner;
 use crate::effect_policy::{permit_exit, ExitPermit, Violation};
 use crate::timers::TimerToken;
@@ -7,26 +7,28 @@
 use tidewall_net::{Conn, Net, Time};
 use tracing::{info, warn};
 
-/// The grace period, in tenths of a millisecond, where settings or the platform's page name no other: 0.65 s. A load balancer
-/// in front notices late; the platform's still sends for 0.6 s, and 50 ms are the slack of its limits. What comes later is
-/// refused at once: from 0.7 s on it would be lost if SIGKILL found it unanswered, and with short deadlines that comes as soon.
+/// The grace period, in tenths of a millisecond, if neither the settings nor the platform's page sets
+/// another: 0.65 s. A load balancer in front notices the shutdown late: the platform's keeps sending for
+/// 0.6 s, and 50 ms are the tolerance of its limits. Requests that arrive later are refused at once: from
+/// 0.7 s on, a request would be lost if SIGKILL found it unanswered, and with short deadlines SIGKILL comes
+/// that soon.
 pub const DRAIN_GRACE: Time = 6_500;
 
-/// Responses that clients do not read hold up the end for so long at most: 5 s, a usual deadline.
+/// How long responses that clients do not read may delay the end of the process: 5 s, a usual deadline.
 const MAX_RESPONSE_WAIT: Time = 50_000;
 
-/// Once nothing more is admitted the gateway runs on for so long at least: 20 ms, several wake-ups. What had been accepted by
-/// then is read and answered.
+/// Minimum run time of the gateway after it stops admitting requests: 20 ms, several wake-ups. Requests on
+/// connections that were accepted before are read and answered in this time.
 const DRAIN_SETTLE_TIME: Time = 200;
 
 impl<N: Net> Gateway<N> {
-    /// Goes on admitting requests for so long, in tenths of a millisecond, after the first signal to stop. 0, the value at
-    /// start, drains at once.
+    /// Sets how long requests are still admitted after the first stop signal, in tenths of a millisecond.
+    /// With 0, the initial value, draining starts immediately.
     pub fn set_drain_grace(&mut self, grace: Time) {
         self.drain_grace = grace;
     }
 
-    /// A signal to stop. The second one drains even where the grace period is not over.
+    /// Handles a stop signal. The second signal starts draining even if the grace period is not over.
     pub(crate) fn shutdown_requested(&mut self) {
         if self.drain_grace > 0 && !self.context.is_shutting_down() {
             self.context.shutting_down = true;
@@ -40,8 +42,8 @@
         self.drain();
     }
 
-    /// Admits no new requests; stops the net once those in flight have their responses. Called a second time it stops at
-    /// once.
+    /// Stops admitting requests, and stops the net once the requests in flight have their responses. The
+    /// second call stops the net immediately.
     pub fn drain(&mut self) {
         if self.begin_failover_shutdown() {
             return;
@@ -65,7 +67,7 @@
         self.exit_when_drained();
     }
 
-    /// Stops the net where draining is complete.
+    /// Stops the net if draining is complete.
     pub(crate) fn exit_when_drained(&mut self) {
         if self.requests_in_flight() > 0 {
             self.idle_since = None;
@@ -75,8 +77,9 @@
         if !settled || self.requests_in_flight() > 0 || unsent {
             return;
         }
-        // A call of a client that lies in its socket is owed an answer too: it is read in the next wake-up.
-        let has_unread = self.clients_have_unread();
+        // A request that is still in a client's socket also needs an answer. It is read in the next
+        // wake-up.
+        let has_unread = self.clients_have_unread_input();
         match permit_exit(self.requests_in_flight(), has_unread) {
             Ok(permit) => self.exit(&permit),
             Err(refusal) => self.context.scheduler.host.effects.refused(refusal),
@@ -89,8 +92,8 @@
         self.context.net().stop();
     }
 
-    /// Whether clients have sent something that is not read yet.
-    fn clients_have_unread(&mut self) -> bool {
+    /// Whether any client's connection has unread input.
+    fn clients_have_unread_input(&mut self) -> bool {
         let clients: Vec<Conn> = self
             .owners
             .iter()
@@ -99,7 +102,8 @@
             .map(|(index, (generation, _))| Conn::new(index, *generation))
             .collect();
         let net = self.context.net();
-        // All of them are looked at, so that all are read.
+        // Checks every connection and does not stop at the first hit, because a check makes the net read
+        // the connection.
         clients
             .into_iter()
             .filter(|conn| net.has_unread(*conn))
@@ -107,7 +111,8 @@
             > 0
     }
 
-    /// Whether responses still wait to be read by clients whose deadline has not passed.
+    /// Whether clients have not yet acknowledged all response bytes. Such clients are waited for until the
+    /// last deadline of any request, and for at most [`MAX_RESPONSE_WAIT`] after nothing was in flight.
     pub(crate) fn has_unread_responses(&mut self) -> bool {
         let now = self.context.net().now();
         let since = *self.idle_since.get_or_insert(now);
--- a/crates/tidewall-gateway/src/effect_policy.rs
+++ b/crates/tidewall-gateway/src/effect_policy.rs
@@ -1,53 +1,54 @@
-//! The one place that decides whether something may be sent, repeated, closed, answered or ended now. Whoever acts asks just
-//! before the effect, with what is known by then, and needs the permit that only this module gives out. A refusal has a reason
-//! and a counter; what is found to have been wrong after the fact is counted apart, as a violation.
+//! The single place that decides whether an effect may happen: sending, resending, closing, responding, or
+//! ending the process. The caller asks immediately before the effect, with the facts known at that moment,
+//! and needs the permit that only this module issues. Each refusal has a reason and a counter. Faults that
+//! are detected after the fact are counted separately, as violations.
 //!
-//! The scheduler decides what is wanted. Between its decision and the effect time passes: a connection is opened, a socket is
-//! full, a wake-up lasts. What was true when it decided may have changed, and is asked again here. Times are in tenths of a
-//! millisecond.
+//! The scheduler decides what should happen. Time passes between its decision and the effect: a connection
+//! is opened, a socket buffer is full, a wake-up takes long. Conditions that held at the decision may have
+//! changed, so they are checked again here. Times are in tenths of a millisecond.
 use std::fmt;
 use tidewall::config::{KeyScope, RetrySafety};
 use tidewall::interface::{Endpoint, EndpointState};
 use tidewall_net::Time;
 
-/// What the sockets told is at most so old when an attempt leaves: 50 ms, half of the 100 ms after which an attempt for a
-/// client that has left is an error.
+/// Maximum age of the last socket poll when an attempt is sent: 50 ms, half of the 100 ms after which an
+/// attempt for a client that has disconnected counts as an error.
 pub const MAX_INPUT_AGE: Time = 500;
 
-/// Why something may not be done now.
+/// Why an effect is not permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The request has its response, or its client has left.
+    /// The request already has its response, or its client has abandoned it.
     RequestClosed,
-    /// The client does not wait any longer.
+    /// The client's deadline has passed.
     DeadlinePassed,
-    /// The attempt's own time is over.
+    /// The attempt's own timeout has passed.
     AttemptExpired,
-    /// What the client sent meanwhile is not read yet: it may have left.
+    /// Input from the client has not been read yet; it may say that the client has abandoned the request.
     InputUnread,
-    /// The sockets were last looked at too long ago.
+    /// The sockets were last polled more than [`MAX_INPUT_AGE`] ago.
     InputTooOld,
     /// The worker is draining or removed.
     WorkerNotActive,
-    /// Nothing recent enough shows that the worker is in service.
+    /// No sufficiently recent information confirms that the worker is in service.
     WorkerUnconfirmed,
     /// An earlier attempt may have been executed, and the request is not idempotent.
     MayHaveExecuted,
     /// An earlier attempt may have been executed, and the worker is outside the scope of the idempotency key.
     OutsideKeyScope,
-    /// An earlier attempt may have been executed, and the window of the idempotency key is over.
+    /// An earlier attempt may have been executed, and the window of the idempotency key has ended.
     KeyWindowOver,
-    /// The connection has calls or open requests.
+    /// The connection still carries calls or open requests.
     ConnectionInUse,
-    /// Requests wait for their response.
+    /// Some requests have not had their response.
     ResponseOwed,
 }
 
 impl Refusal {
-    /// How many reasons there are.
+    /// Number of reasons.
     pub const COUNT: usize = Refusal::ResponseOwed as usize + 1;
 
-    /// All of them, in the order of their numbers.
+    /// All variants, in the order of their discriminants.
     pub const ALL: [Refusal; Refusal::COUNT] = [
         Refusal::RequestClosed,
         Refusal::DeadlinePassed,
@@ -63,30 +64,31 @@
         Refusal::ResponseOwed,
     ];
 
-    /// Whether reading the sockets may remove the reason, so that the effect waits for that and is not given up.
-    pub fn is_cured_by_reading(self) -> bool {
+    /// Whether reading the sockets can remove the reason. If so, the effect is postponed and not dropped.
+    pub fn is_resolved_by_reading(self) -> bool {
         matches!(self, Refusal::InputUnread | Refusal::InputTooOld)
     }
 }
 
-/// What was found to be wrong after the fact.
+/// A fault that was detected after the fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A response left half a second or more after the client stopped waiting.
+    /// A response was sent half a second or more after the client stopped waiting.
     LateResponse,
-    /// An attempt left by input that was too old, as it could not be read in time.
+    /// An attempt was sent although the client's input was unread or too old, because it had been postponed
+    /// too often.
     AttemptByOldInput,
-    /// The process ends with requests that have no response.
+    /// The process ended while requests had no response.
     EndedWithOpenRequests,
     /// A step of a wake-up took over 100 ms.
     LongStep,
 }
 
 impl Violation {
-    /// How many kinds there are.
+    /// Number of kinds of violation.
     pub const COUNT: usize = Violation::LongStep as usize + 1;
 
-    /// All of them, in the order of their numbers.
+    /// All variants, in the order of their discriminants.
     pub const ALL: [Violation; Violation::COUNT] = [
         Violation::LateResponse,
         Violation::AttemptByOldInput,
@@ -95,13 +97,15 @@
     ];
 }
 
-/// A response that leaves so much after its deadline is a violation: 0.5 s, after which the request counts as lost.
-pub const LATE_RESPONSE: Time = 5_000;
+/// A response sent this long after its deadline is a violation: 0.5 s, after which the request counts as
+/// lost.
+pub const LATE_RESPONSE_THRESHOLD: Time = 5_000;
 
-/// A step of a wake-up that takes longer is a violation: 100 ms, after which what it sends may be for clients that have left.
-pub const LONG_STEP: Time = 1_000;
+/// A wake-up step that takes longer than this is a violation: after 100 ms, what the step sends may be for
+/// clients that have already disconnected.
+pub const STEP_VIOLATION_THRESHOLD: Time = 1_000;
 
-/// Counts of refusals and violations since the start.
+/// Counts of refusals and violations since the process started.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub struct EffectCounters {
     refusals: [u64; Refusal::COUNT],
@@ -109,29 +113,29 @@
 }
 
 impl EffectCounters {
-    /// Counts a refusal.
+    /// Increments the count of this refusal.
     pub fn refused(&mut self, refusal: Refusal) {
         self.refusals[refusal as usize] += 1;
     }
 
-    /// Counts a violation.
+    /// Increments the count of this violation.
     pub fn violated(&mut self, violation: Violation) {
         self.violations[violation as usize] += 1;
     }
 
-    /// How often something was refused for this reason.
+    /// Number of effects refused for this reason.
     pub fn refusals(&self, refusal: Refusal) -> u64 {
         self.refusals[refusal as usize]
     }
 
-    /// How often this violation was found.
+    /// Number of times this violation was detected.
     pub fn violations(&self, violation: Violation) -> u64 {
         self.violations[violation as usize]
     }
 }
 
 impl fmt::Debug for EffectCounters {
-    /// Those that are not 0.
+    /// Prints only the counts that are not 0.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut map = f.debug_map();
         let refusals = Refusal::ALL.map(|refusal| (refusal, self.refusals(refusal)));
@@ -146,48 +150,48 @@
     }
 }
 
-/// How recent what is known of a request's client is.
+/// How current the gateway's knowledge of a request's client is.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientInput {
     /// Time since the sockets were last polled.
     pub age: Time,
-    /// Its connection has bytes, or an end, that are known of and not read.
+    /// The client's connection is known to have unread bytes or an unread end of stream.
     pub unread: bool,
 }
 
-/// An earlier attempt of a request that may have been executed.
+/// An earlier attempt of a request that is not proven to be unexecuted.
 #[derive(Clone, Copy, Debug)]
 pub struct UnprovenAttempt {
-    /// Its worker, as the endpoint list had it.
+    /// The attempt's worker, as in the endpoint list.
     pub endpoint: Endpoint,
-    /// When it left.
+    /// When the attempt was sent.
     pub sent_at: Time,
 }
 
-/// What an attempt rests on, just before its first byte leaves.
+/// The facts that decide whether an attempt may be sent, taken just before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts<'a> {
-    /// The time by the system's clock.
+    /// The time at this moment, not at the start of the wake-up.
     pub now: Time,
-    /// The request's response is still owed.
+    /// The request has not had its response.
     pub request_open: bool,
     /// When the client stops waiting.
     pub deadline: Time,
     /// When the gateway stops waiting for this attempt.
     pub expires_at: Time,
-    /// How recent what is known of the client is.
+    /// How current the knowledge of the client is.
     pub client: ClientInput,
-    /// The worker.
+    /// The endpoint of the attempt's worker.
     pub endpoint: Endpoint,
-    /// Until when what is known of its being in service holds.
-    pub departures_until: Time,
+    /// Until when the information that the worker is in service is valid.
+    pub send_allowed_until: Time,
     /// Whether the request may be executed again.
     pub retry_safety: RetrySafety,
-    /// Earlier attempts of which nothing proves that they were not executed.
+    /// Earlier attempts that are not proven to be unexecuted.
     pub unproven: &'a [UnprovenAttempt],
 }
 
-/// Leave to send an attempt now.
+/// Permission to send an attempt now.
 #[derive(Debug, PartialEq)]
 pub struct AttemptPermit {
     remaining: Time,
@@ -195,21 +199,21 @@
 }
 
 impl AttemptPermit {
-    /// How long until the client stops waiting.
+    /// Time until the client stops waiting.
     pub fn remaining(&self) -> Time {
         self.remaining
     }
 
-    /// How long until the gateway stops waiting for the attempt; at most `remaining`.
+    /// Time until the gateway stops waiting for the attempt; at most `remaining`.
     pub fn timeout(&self) -> Time {
         self.timeout
     }
 }
 
-/// Whether an attempt may leave now.
+/// Decides whether an attempt may be sent now.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why the effect is not permitted.
 pub fn permit_attempt(facts: &AttemptFacts) -> Result<AttemptPermit, Refusal> {
     if !facts.request_open {
         return Err(Refusal::RequestClosed);
@@ -223,8 +227,9 @@
     if facts.endpoint.state != EndpointState::Active {
         return Err(Refusal::WorkerNotActive);
     }
-    // A stall, a slow connect or a full socket may have used up what was left when it was decided.
-    if facts.now >= facts.departures_until {
+    // A stall of the process, a slow connect or a full socket buffer may have used up the time that was
+    // left when the scheduler decided.
+    if facts.now >= facts.send_allowed_until {
         return Err(Refusal::WorkerUnconfirmed);
     }
     if facts.client.unread {
@@ -236,7 +241,7 @@
     facts
         .unproven
         .iter()
-        .try_for_each(|earlier| check_repeat(facts, earlier))?;
+        .try_for_each(|earlier| check_repeated_execution(facts, earlier))?;
     let remaining = facts.deadline - facts.now;
     Ok(AttemptPermit {
         remaining,
@@ -244,8 +249,11 @@
     })
 }
 
-/// Whether it does no harm if an earlier attempt was executed as well.
-fn check_repeat(facts: &AttemptFacts, earlier: &UnprovenAttempt) -> Result<(), Refusal> {
+/// Checks that executing the request again is harmless even if the earlier attempt was executed.
+fn check_repeated_execution(
+    facts: &AttemptFacts,
+    earlier: &UnprovenAttempt,
+) -> Result<(), Refusal> {
     let RetrySafety::IdempotencyKey(scope, window) = facts.retry_safety else {
         return match facts.retry_safety {
             RetrySafety::NonIdempotent => Err(Refusal::MayHaveExecuted),
@@ -266,25 +274,25 @@
     Ok(())
 }
 
-/// Leave to send a load request now.
+/// Permission to send a load request now.
 #[derive(Debug, PartialEq)]
 pub struct LoadPermit(());
 
-/// Whether a load request, or with `instances` 0 a query, may leave now for a worker of this state, whose being in service
-/// is known up to a time.
+/// Decides whether a load request, or a query if `instances` is 0, may be sent now to a worker in this
+/// state. `send_allowed_until` is the time until which the worker is known to be in service.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why the effect is not permitted.
 pub fn permit_load(
     instances: u32,
-    (state, departures_until): (EndpointState, Time),
+    (state, send_allowed_until): (EndpointState, Time),
     now: Time,
     expires_at: Time,
 ) -> Result<LoadPermit, Refusal> {
     if instances > 0 && state != EndpointState::Active {
         return Err(Refusal::WorkerNotActive);
     }
-    if instances > 0 && now >= departures_until {
+    if instances > 0 && now >= send_allowed_until {
         return Err(Refusal::WorkerUnconfirmed);
     }
     if now >= expires_at {
@@ -293,14 +301,15 @@
     Ok(LoadPermit(()))
 }
 
-/// Leave to close a connection that nobody uses.
+/// Permission to close an unused connection.
 #[derive(Debug, PartialEq)]
 pub struct ClosePermit(());
 
-/// Whether an idle connection may be closed: it has nothing open, and nothing on it lies unread.
+/// Decides whether an idle connection may be closed: it must carry no open call or request, and have no
+/// unread input.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why the effect is not permitted.
 pub fn permit_close(in_use: bool, has_unread: bool) -> Result<ClosePermit, Refusal> {
     if in_use {
         return Err(Refusal::ConnectionInUse);
@@ -311,14 +320,15 @@
     Ok(ClosePermit(()))
 }
 
-/// Leave to end the process.
+/// Permission to end the process.
 #[derive(Debug, PartialEq)]
 pub struct ExitPermit(());
 
-/// Whether a gateway that is draining may end: everything admitted has its response, and nothing that clients sent lies unread.
+/// Decides whether a draining gateway may end: every admitted request must have its response, and no client
+/// input may be unread.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why the effect is not permitted.
 pub fn permit_exit(requests_in_flight: usize, has_unread: bool) -> Result<ExitPermit, Refusal> {
     if requests_in_flight > 0 {
         return Err(Refusal::ResponseOwed);
--- a/crates/tidewall-gateway/src/event_loop.rs
+++ b/crates/tidewall-gateway/src/event_loop.rs
@@ -1,13 +1,13 @@
-//! The event loop's entry points: what happens on connections, sockets and timers is handed to the part that it belongs to.
-//! Each ends by delivering what the scheduler's calls left behind.
+//! The event loop's entry points: events of connections, sockets and timers are dispatched to the
+//! responsible part. Each entry point ends by delivering what the scheduler's actions have queued.
 use crate::connection_owners::Owner;
-use crate::effect_policy::{Violation, LONG_STEP};
+use crate::effect_policy::{Violation, STEP_VIOLATION_THRESHOLD};
 use crate::wakeup_profile::WakeupPart;
 use crate::Gateway;
 use std::net::SocketAddr;
 use tidewall_net::{App, CloseReason, Conn, DatagramSocket, Listener, Net};
 
-/// The number of SIGHUP (POSIX: 1 on every system of today).
+/// The signal number of SIGHUP, which is 1 on all current POSIX systems.
 const SIGHUP: i32 = 1;
 
 impl<N: Net> App for Gateway<N> {
@@ -105,13 +105,13 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Does one step of a wake-up and counts how long it took.
+    /// Runs one step of a wake-up and records how long it took.
     fn timed<T>(&mut self, part: WakeupPart, step: impl FnOnce(&mut Self) -> T) -> T {
         let started = self.context.net().current_time();
         let result = step(self);
         let ended = self.context.net().current_time();
         self.wakeup_profile.record(part, started, ended);
-        if ended - started > LONG_STEP {
+        if ended - started > STEP_VIOLATION_THRESHOLD {
             let effects = &mut self.context.scheduler.host.effects;
             effects.violated(Violation::LongStep);
         }
--- a/crates/tidewall-gateway/src/lib.rs
+++ b/crates/tidewall-gateway/src/lib.rs
@@ -1,18 +1,20 @@
-//! The running gateway. [`Gateway`] is an [`App`](tidewall_net::App) of `tidewall-net`: it reacts to connections, datagrams,
-//! timers and signals, tells the scheduler, and carries out what the scheduler calls for. It decides nothing itself.
+//! The running gateway. [`Gateway`] is an [`App`](tidewall_net::App) of `tidewall-net`: it handles events
+//! of connections, datagrams, timers and signals, passes them to the scheduler, and carries out the
+//! scheduler's actions. The scheduler makes the decisions.
 //!
-//! - Clients: [`ingress`] is the interface of a client protocol, [`native_ingress`] one of them; `ingress_context` admits
-//!   requests.
-//! - Workers: [`worker_pool`] implements the scheduler's actions, [`protocol`] is the interface of a worker protocol,
-//!   [`native_protocol`] one of them; `worker_events` handles what workers say.
-//! - Endpoint list: `discovery` is the client of the discovery server, [`endpoints`] the records and their encoding,
-//!   `endpoint_cache` the last list on disk.
-//! - Disk: `durable_file` replaces files as a whole, [`incarnation_store`] numbers the incarnations of a process.
-//! - [`effect_policy`] decides whether something may be sent, repeated, closed or ended now.
-//! - `event_loop` and `timers` are the entry points, `drain` is graceful shutdown, [`failover`] a pair of gateways behind one
-//!   address.
+//! - Clients: [`ingress`] is the interface of a client protocol, [`native_ingress`] an implementation of
+//!   it; `ingress_context` admits requests.
+//! - Workers: [`worker_pool`] implements the scheduler's actions, [`protocol`] is the interface of a worker
+//!   protocol, [`native_protocol`] an implementation of it; `worker_events` handles messages from workers.
+//! - Endpoint list: `discovery` is the client of the discovery server, [`endpoints`] defines the records
+//!   and their encoding, `endpoint_cache` stores the last list on disk.
+//! - Disk: `durable_file` replaces files atomically, [`incarnation_store`] issues the incarnation numbers
+//!   of a process.
+//! - [`effect_policy`] decides whether something may be sent, resent, closed or ended now.
+//! - `event_loop` and `timers` are the entry points, `drain` implements graceful shutdown, [`failover`] a
+//!   pair of gateways that share one address.
 //!
-//! Times are whole tenths of a millisecond unless it says otherwise.
+//! Times are in whole tenths of a millisecond unless stated otherwise.
 pub mod backoff;
 pub mod client_requests;
 pub mod config;
@@ -70,69 +72,70 @@
 /// A gateway on one network. It owns the scheduler, the worker pool, the ingresses and the discovery client.
 pub struct Gateway<N: Net> {
     context: IngressContext<N>,
-    /// The client protocols; an `Owner::Ingress` and a reply handle name one by its index.
+    /// The client protocols; `Owner::Ingress` and a reply handle refer to one by its index.
     ingresses: Vec<Box<dyn Ingress<N>>>,
     /// By connection index: the generation and owner of its latest connection.
     owners: Vec<(u32, Owner)>,
     /// By ingress: its listener, while it listens.
     listeners: Vec<Option<Listener>>,
-    /// Listeners that were closed, with their ingress: connections that they had accepted by then are still handed over.
+    /// Closed listeners with their ingress: connections that they had accepted before are still delivered.
     closed_listeners: Vec<(Listener, usize)>,
     /// By ingress: the address that it listens on.
     addresses: Vec<SocketAddr>,
     /// This gateway's index among those of its site.
     index: u64,
     discovery: DiscoveryClient,
-    /// Between the signal to stop and the start of draining.
+    /// Time between the stop signal and the start of draining.
     drain_grace: Time,
-    /// While draining: the process does not end before this.
+    /// While draining: earliest time at which the process may end.
     exit_not_before: Time,
     /// When a malformed message was last logged as a warning.
     malformed_logged_at: Option<Time>,
     endpoint_cache: Box<dyn EndpointCache>,
-    /// The list has changed since it was last written to the cache.
+    /// Whether the list has changed since it was last written to the cache.
     cache_outdated: bool,
     /// The socket for datagrams between gateways.
     datagram_socket: Option<DatagramSocket>,
     name: String,
-    /// Of a failover pair: this member's state.
+    /// In a failover pair: this member's state.
     failover: Option<Box<FailoverNode>>,
     stop_reason: StopReason,
-    /// Since when nothing is in flight, once that was asked for.
+    /// Since when nothing has been in flight; set when this is first checked.
     idle_since: Option<Time>,
     endpoint_watcher: Option<EndpointWatcher>,
-    /// The list changed and the watcher could not take it.
+    /// Whether the list changed and the watcher could not take it.
     watcher_outdated: bool,
     wakeup_profile: WakeupProfile,
-    /// Responses behind their deadline, until the clients' input of this wake-up is read.
+    /// Responses that are past their deadline; they wait until this wake-up has read the clients' input.
     late_responses: Vec<LateResponse>,
 }
 
-/// What a gateway is started with.
+/// The configuration that a gateway is started with.
 pub struct GatewayConfig {
-    /// Its name, for peers and logs.
+    /// The gateway's name, for peers and logs.
     pub name: String,
-    /// Its index among the gateways of its site.
+    /// The gateway's index among the gateways of its site.
     pub index: usize,
-    /// The seed of its random draws.
+    /// The seed of the random number generators.
     pub seed: u64,
     /// The scheduler's settings.
     pub settings: Settings,
     /// The discovery server's address.
     pub discovery: SocketAddr,
-    /// The mean delay before discovery is retried, and the time that connecting may take.
+    /// The mean delay before reconnecting to the discovery server, which is also the connect timeout.
     pub discovery_retry: Time,
-    /// Datagram addresses of the site's gateways by their index; none where a gateway takes no datagrams.
+    /// Datagram addresses of the site's gateways by their index; none for a gateway that receives no
+    /// datagrams.
     pub peers: Vec<Option<SocketAddr>>,
-    /// Where to bind for datagrams, if that is another address than the one in `peers`.
+    /// The address to bind for datagrams, if it is not the one in `peers`.
     pub peer_listen: Option<SocketAddr>,
     /// The gateway's limits.
     pub limits: GatewayLimits,
-    /// Of a failover pair: this member's part.
+    /// In a failover pair: this member's configuration.
     pub failover: Option<FailoverConfig>,
 }
 
-/// Binds the socket for datagrams between gateways, where this gateway has an address for them.
+/// Binds the socket for datagrams between gateways, if this gateway has an address for them.
 fn bind_datagrams<N: Net>(
     net: &mut N,
     config: &GatewayConfig,
@@ -147,11 +150,11 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// A gateway whose workers and discovery server speak the native protocol. It connects to the discovery server at once;
-    /// clients come by the ingresses that are added to it.
+    /// Creates a gateway whose workers and discovery server speak the native protocol. It connects to the
+    /// discovery server immediately; clients connect through the ingresses that are added to it.
     ///
     /// # Errors
-    /// Where an address cannot be bound, or settings or VRRP parameters are refused.
+    /// If an address cannot be bound, or if settings or VRRP parameters are rejected.
     pub fn new(
         net: N,
         config: GatewayConfig,
@@ -163,10 +166,10 @@
         Gateway::with_protocols(net, config, endpoint_cache, protocol, Box::new(source))
     }
 
-    /// A gateway whose workers and discovery server speak these protocols.
+    /// Creates a gateway whose workers and discovery server speak the given protocols.
     ///
     /// # Errors
-    /// As of `new`.
+    /// As for `new`.
     pub fn with_protocols(
         mut net: N,
         config: GatewayConfig,
@@ -209,7 +212,7 @@
             wakeup_profile: WakeupProfile::default(),
             late_responses: Vec::new(),
         };
-        gateway.expect_list_confirmation();
+        gateway.mark_list_unconfirmed();
         gateway.load_endpoint_cache();
         gateway.connect_discovery();
         if let Some(failover) = config.failover {
@@ -223,48 +226,48 @@
         self.stop_reason
     }
 
-    /// Totals since the start.
+    /// Totals since the process started.
     pub fn counters(&self) -> &Counters {
         &self.context.scheduler.host.counters
     }
 
-    /// What was refused just before an effect, and what was found to be wrong after the fact.
+    /// Effects that were refused, and violations that were detected after the fact.
     pub fn effects(&self) -> &EffectCounters {
         &self.context.scheduler.host.effects
     }
 
-    /// How long the steps of wake-ups took.
+    /// Durations of the steps of wake-ups.
     pub fn wakeup_profile(&self) -> &WakeupProfile {
         &self.wakeup_profile
     }
 
-    /// How often a connection to the discovery server was opened.
+    /// Number of connections opened to the discovery server.
     pub fn discovery_attempts(&self) -> u64 {
         self.discovery.attempts
     }
 
-    /// Requests whose response is still owed.
+    /// Number of requests that have not had their response.
     pub fn requests_in_flight(&self) -> usize {
         self.context.scheduler.host.in_flight
     }
 
-    /// Attempts, load requests and health checks of which a worker's answer is still awaited.
+    /// Number of attempts, load requests and health checks that await the worker's answer.
     pub fn calls_in_flight(&self) -> usize {
         self.context.scheduler.host.calls.len()
     }
 
-    /// Connections to workers that are open or being opened.
+    /// Number of connections to workers that are open or being opened.
     pub fn worker_connections(&self) -> usize {
         self.context.scheduler.host.connections.len()
     }
 
-    /// Workers of which something is known.
+    /// Number of workers with a known address.
     pub fn known_workers(&self) -> usize {
         let workers = self.context.scheduler.host.workers.iter();
         workers.filter(|worker| worker.is_known()).count()
     }
 
-    /// Of a failover pair: one more than this member's index; else 0.
+    /// In a failover pair: this member's index plus one; otherwise 0.
     pub(crate) fn failover_member(&self) -> u64 {
         self.failover
             .as_ref()
--- a/crates/tidewall-gateway/src/outcomes.rs
+++ b/crates/tidewall-gateway/src/outcomes.rs
@@ -1,4 +1,5 @@
-//! Ends of calls: outcomes are handed to the scheduler, and what its calls left behind is delivered.
+//! Ends of calls: passes outcomes to the scheduler, and delivers the effects that the scheduler's actions
+//! have queued.
 use crate::connection_owners::Owner;
 use crate::worker_pool::{Call, CallKind};
 use crate::Gateway;
@@ -7,8 +8,9 @@
 use tracing::debug;
 
 impl<N: Net> Gateway<N> {
-    /// Delivers what the scheduler's last calls left behind, until nothing is left: connections that were opened, outcomes
-    /// that were known at once, the scheduler's own responses.
+    /// Delivers everything that the scheduler's actions have queued, until nothing is left: newly opened
+    /// connections, deferred outcomes, the scheduler's own responses, and calls to workers that left or
+    /// restarted.
     pub(crate) fn deliver_deferred_outcomes(&mut self) {
         loop {
             let pool = &mut self.context.scheduler.host;
@@ -16,7 +18,7 @@
                 self.set_owner(conn, Owner::Worker(connection));
             } else if let Some((key, generation, outcome)) = pool.deferred_outcomes.pop_front() {
                 let call = pool.calls.get(key);
-                // Its key may name another call by now.
+                // The key may belong to another call by now.
                 if call.is_some_and(|call| call.generation == generation) {
                     self.call_ended(key, outcome, 0);
                     self.context.scheduler.host.remove_ended_call(key);
@@ -26,7 +28,7 @@
             } else if !pool.withdrawn_workers.is_empty() {
                 self.withdraw_unsent_calls();
             } else if self.deliver_failover_outcome() {
-                // One more thing was done.
+                // A failover outcome was delivered; the loop continues.
             } else if let Some(handle) = self.context.scheduler.host.expired_clients.pop_front() {
                 let now = self.context.net().now();
                 self.ingresses[handle.ingress].request_expired(now, handle);
@@ -37,21 +39,22 @@
         self.exit_when_drained();
     }
 
-    /// A call is over, with its outcome and the number that came with it: an attempt's note, or a load request's instances.
-    /// Does nothing where the scheduler has its outcome already.
+    /// Reports the end of a call to the scheduler. `number` is an attempt's instance note or a load
+    /// request's number of instances. Does nothing if the scheduler has the outcome already.
     pub(crate) fn call_ended(&mut self, key: usize, outcome: Outcome, number: u32) {
         let pool = &mut self.context.scheduler.host;
         let Some(&call) = pool.calls.get(key).filter(|call| !call.ended) else {
             return;
         };
         let now = pool.net.now();
-        // What passed while this process was stalled is no evidence about a worker.
+        // Time during which this process was stalled is no evidence about the worker.
         let stall = pool.net.total_stall() - call.stall_at_start;
         let elapsed = (now - call.started_at).saturating_sub(stall);
         pool.finish_call(key);
         self.context.scheduler.advance_clock(now);
         if let Some(question) = call.question() {
-            // As of its start: what is asked leaves later. What never left has no answer of the worker.
+            // The answer is dated to the start of the call, because the call is sent later than that. A
+            // call that was never sent has no answer from the worker.
             let answer = WorkerAnswer {
                 question,
                 outcome: if call.sent {
@@ -112,14 +115,14 @@
             elapsed,
             "attempt ended"
         );
-        pool.note_attempt_end(request, attempt, outcome);
+        pool.record_attempt_outcome(request, attempt, outcome);
         pool.replicate_attempt_end(request, attempt);
         self.context
             .scheduler
             .attempt_ended(request, attempt, (outcome, elapsed), answered, note);
     }
 
-    /// A call's timer fired: where it has expired its outcome is known.
+    /// Handles a call's timer. If the call has expired, its outcome is reported.
     pub(crate) fn call_timer_fired(&mut self, key: usize) {
         let pool = &mut self.context.scheduler.host;
         let Some(key) = pool.call_timer_fired(key) else {
@@ -131,7 +134,7 @@
         let outcome = if sent {
             Outcome::TimedOut
         } else {
-            // What still waited for a connection provably was not executed.
+            // A call that was still waiting for a connection certainly was not executed.
             Outcome::ConnectFailed
         };
         self.call_ended(key, outcome, 0);
--- a/crates/tidewall-gateway/src/responses.rs
+++ b/crates/tidewall-gateway/src/responses.rs
@@ -1,4 +1,5 @@
-//! Responses that are not the scheduler's own: a worker's answer, or the break of one that had begun.
+//! Responses that the scheduler did not decide: a worker's answer, or a failure because a response broke
+//! off after it had begun.
 use crate::ingress::Disposition;
 use crate::worker_pool::{CallKind, LocalResponse};
 use crate::Gateway;
@@ -6,7 +7,7 @@
 use tracing::debug;
 
 impl<N: Net> Gateway<N> {
-    /// Sends the request's one response, unless it was sent or its client has stopped waiting.
+    /// Sends the request's one response, unless it was already sent or its client has stopped waiting.
     pub(crate) fn respond(&mut self, request: usize, disposition: Disposition, payload: &[u8]) {
         let pool = &mut self.context.scheduler.host;
         let Some((reply_handle, elapsed)) = pool.take_reply_handle(request, None) else {
@@ -19,7 +20,7 @@
             let now = pool.net.now();
             return self.ingresses[reply_handle.ingress].request_expired(now, reply_handle);
         }
-        pool.note_response_time(request);
+        pool.check_response_lateness(request);
         match disposition {
             Disposition::Completed => pool.counters.completed += 1,
             _ => pool.counters.failed += 1,
@@ -41,7 +42,8 @@
         self.send_final_response(&response, payload);
     }
 
-    /// An attempt is lost. Where its response had begun it was the request's last one, and no other worker may answer.
+    /// Handles the loss of an attempt. If its response had begun, the request fails: no other worker's
+    /// response may follow the part that was sent.
     pub(crate) fn partial_response_lost(&mut self, kind: CallKind) {
         if let CallKind::Attempt { request, attempt } = kind {
             let pending = &self.context.scheduler.host.requests[request];
--- a/crates/tidewall-gateway/src/timers.rs
+++ b/crates/tidewall-gateway/src/timers.rs
@@ -1,29 +1,30 @@
-//! Timer tokens: what a timer of the gateway stands for, packed into the net's 64-bit token in this one place, and what
-//! each does when it fires.
+//! Timer tokens: the meaning of each of the gateway's timers, packed into the net's 64-bit token only in
+//! this file, and the dispatch of fired timers.
 use crate::Gateway;
 use tidewall_net::{Net, Time};
 use tracing::{error, info};
 
-/// What a timer stands for. The kind takes the upper 8 bits of the packed token, its argument the lower 56.
+/// The meaning of a timer. The packed token holds the kind in the upper 8 bits and its argument in the
+/// lower 56.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerToken {
     /// A timer of the scheduler, with the scheduler's own token.
     Scheduler(u64),
-    /// A call expires, or has not left in time: the call's key.
+    /// A call has expired, or was not sent in time; the argument is the call's key.
     Call(usize),
-    /// Discovery is retried.
+    /// The delay before reconnecting to the discovery server is over.
     DiscoveryRetry,
-    /// The regular check of connections to workers.
+    /// The periodic check of connections to workers.
     ConnectionCheck,
-    /// The endpoint cache is written.
+    /// The changed endpoint list is written to the cache.
     CacheWrite,
-    /// The regular log line with the counters.
+    /// The periodic log line with the counters.
     CounterLog,
-    /// A worker has not greeted in time: the connection's key.
+    /// A worker has not greeted in time; the argument is the connection's key.
     Greeting(usize),
-    /// A timer of an ingress: its index.
+    /// A timer of an ingress; the argument is the ingress's index.
     Ingress(usize),
-    /// The regular tick of a failover pair.
+    /// The periodic tick of a failover pair.
     FailoverTick,
     /// The VRRP router's timer.
     Vrrp,
@@ -31,11 +32,11 @@
     DiscoveryTimeout,
     /// The grace period before draining is over.
     DrainStart,
-    /// What had been accepted when draining started has been read by now.
+    /// Requests on connections that were accepted before draining started have been read by now.
     DrainSettled,
-    /// Attempts that were put off until sockets were read are looked at again.
-    PutOffSends,
-    /// Clients may not be able to wait longer for the record of their response.
+    /// Attempts that were postponed until the sockets were read are retried.
+    PostponedSends,
+    /// The record of a response was not acknowledged in time; its client may not wait longer.
     RecordTimeout,
 }
 
@@ -43,7 +44,7 @@
 const ARGUMENT: u64 = (1 << KIND_SHIFT) - 1;
 
 impl TimerToken {
-    /// The token as the net carries it.
+    /// Packs the token into the net's 64-bit form.
     pub(crate) const fn pack(self) -> u64 {
         let (kind, argument) = match self {
             TimerToken::Scheduler(token) => (1, token),
@@ -59,13 +60,13 @@
             TimerToken::DiscoveryTimeout => (11, 0),
             TimerToken::DrainStart => (12, 0),
             TimerToken::DrainSettled => (13, 0),
-            TimerToken::PutOffSends => (14, 0),
+            TimerToken::PostponedSends => (14, 0),
             TimerToken::RecordTimeout => (15, 0),
         };
         kind << KIND_SHIFT | argument
     }
 
-    /// The token that was packed; none for a kind that is not known.
+    /// Unpacks a token; none if its kind is unknown.
     pub(crate) fn unpack(packed: u64) -> Option<TimerToken> {
         let argument = packed & ARGUMENT;
         Some(match packed >> KIND_SHIFT {
@@ -82,21 +83,21 @@
             11 => TimerToken::DiscoveryTimeout,
             12 => TimerToken::DrainStart,
             13 => TimerToken::DrainSettled,
-            14 => TimerToken::PutOffSends,
+            14 => TimerToken::PostponedSends,
             15 => TimerToken::RecordTimeout,
             _ => return None,
         })
     }
 }
 
-/// How often connections to workers are checked for being idle or silent: a tenth of a second is fine against timeouts of
-/// seconds and costs nothing.
+/// Interval of the check for idle or silent connections to workers: 0.1 s is fine enough for timeouts of
+/// seconds and costs little.
 const CONNECTION_CHECK_INTERVAL: Time = 1_000;
 
-/// The counters are logged once a minute.
+/// Interval of the counter log line: one minute.
 const COUNTER_LOG_INTERVAL: Time = 600_000;
 
-/// Sets the timers that run as long as the gateway.
+/// Starts the periodic timers.
 pub(crate) fn set_regular_timers<N: Net>(net: &mut N, now: Time) {
     net.set_timer(
         now + CONNECTION_CHECK_INTERVAL,
@@ -106,7 +107,7 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Handles the timer with this token.
+    /// Handles the fired timer with this token.
     pub(crate) fn dispatch_timer(&mut self, packed: u64) {
         let Some(token) = TimerToken::unpack(packed) else {
             return error!(token = packed, "timer fired with an unknown token");
@@ -121,15 +122,15 @@
             TimerToken::DiscoveryRetry => self.retry_discovery(),
             TimerToken::DiscoveryTimeout => self.discovery_timed_out(),
             TimerToken::DrainStart => self.drain(),
-            // Whether the gateway may end is checked after each wake-up.
+            // Nothing to do: whether the gateway may end is checked after each event.
             TimerToken::DrainSettled => {}
-            TimerToken::PutOffSends => self.context.scheduler.host.resume_put_off(),
+            TimerToken::PostponedSends => self.context.scheduler.host.resume_postponed(),
             TimerToken::RecordTimeout => self.give_up_records(),
             TimerToken::Greeting(connection) => self.greeting_timed_out(connection),
             TimerToken::ConnectionCheck => {
                 let next = now + CONNECTION_CHECK_INTERVAL;
                 self.context.net().set_timer(next, packed);
-                self.note_list_age();
+                self.update_list_overdue();
                 if self.watcher_outdated {
                     self.notify_endpoint_watcher();
                 }
--- a/crates/tidewall-gateway/src/worker_connections.rs
+++ b/crates/tidewall-gateway/src/worker_connections.rs
@@ -1,4 +1,5 @@
-//! Connections to workers, as the gateway sees them: greeting, timeouts, and what follows from their end.
+//! The gateway's handling of connections to workers: greeting, timeouts, and the consequences of a
+//! connection's end.
 use crate::connection_owners::Owner;
 use crate::effect_policy::{permit_close, ClosePermit};
 use crate::protocol::LocalIdentity;
@@ -8,7 +9,7 @@
 use tracing::{debug, warn};
 
 impl<N: Net> Gateway<N> {
-    /// A connection to a worker is open.
+    /// Handles a newly opened connection to a worker.
     pub(crate) fn worker_connected(&mut self, conn: Conn, connection: usize) {
         let mut greeting = Vec::new();
         let protocol = self.context.scheduler.host.protocol.clone();
@@ -29,7 +30,7 @@
         }
     }
 
-    /// A connection to a worker has ended, and not from this side.
+    /// Handles the end of a connection to a worker that this gateway did not close.
     pub(crate) fn worker_connection_lost(&mut self, connection: usize, reason: CloseReason) {
         let pool = &self.context.scheduler.host;
         let (now, worker) = (pool.net.now(), pool.connections[connection].worker);
@@ -38,13 +39,14 @@
         match reason {
             CloseReason::Reset | CloseReason::Ended => scheduler.worker_connection_lost(worker),
             CloseReason::Refused | CloseReason::TimedOut => scheduler.worker_unreachable(worker),
-            // What this machine lacks is not the worker's fault.
+            // A lack of resources on this machine is not the worker's fault.
             CloseReason::NoResources => {}
         }
         self.worker_connection_closed(connection, reason);
     }
 
-    /// A connection to a worker is over: its unsent calls provably were not executed, its sent ones may have been.
+    /// Removes a closed connection to a worker and ends its calls. Unsent calls certainly were not
+    /// executed; sent ones may have been.
     pub(crate) fn worker_connection_closed(&mut self, connection: usize, reason: CloseReason) {
         let pool = &mut self.context.scheduler.host;
         let closed = pool.connections.remove(connection);
@@ -52,7 +54,7 @@
             .connections
             .retain(|other| *other != connection);
         pool.cancel_greeting_timer(&closed);
-        // The key may name another connection before the last of these calls has ended.
+        // The key may be reused for another connection before the last of these calls has ended.
         for key in closed.waiting.iter().chain(&closed.sent) {
             pool.calls[*key].connection = None;
         }
@@ -69,7 +71,7 @@
             in_flight = closed.sent.len(),
             "{message}"
         );
-        // What this machine lacks is not the worker's fault.
+        // A lack of resources on this machine is not the worker's fault.
         let outcome = match reason {
             CloseReason::NoResources => Outcome::Discarded,
             _ => Outcome::ConnectFailed,
@@ -88,20 +90,21 @@
         }
     }
 
-    /// The worker accepted a connection and says nothing, as a hung process does: that counts as no connection.
+    /// The worker accepted the connection but did not greet in time, as a hung process does: the connection
+    /// counts as failed.
     pub(crate) fn greeting_timed_out(&mut self, connection: usize) {
         if let Some(conn) = self.context.scheduler.host.unready_connection(connection) {
             self.reset_worker_connection(connection, conn, CloseReason::TimedOut);
         }
     }
 
-    /// Ends connections that are idle, silent or of no further use.
+    /// Closes connections that are idle, and resets those that are stalled.
     pub(crate) fn close_unused_connections(&mut self, now: Time, next_check: Time) {
         self.reset_stalled_after_grace(next_check);
         for (connection, conn) in self.context.scheduler.host.stalled_connections(now) {
             warn!(
                 connection,
-                "worker connection reset: the rest of a message did not come"
+                "worker connection reset: rest of an incomplete message did not arrive"
             );
             self.reset_worker_connection(connection, conn, CloseReason::Reset);
         }
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Closes a connection that is no longer used, unless its worker has said something that is not read yet.
+    /// Closes an unused connection unless it has unread input from the worker.
     fn close_idle_connection(&mut self, connection: usize, conn: Conn) {
         let pool = &mut self.context.scheduler.host;
         let has_unread = pool.net.has_unread(conn);
@@ -129,7 +132,8 @@
         self.worker_connection_closed(connection, CloseReason::Ended);
     }
 
-    /// Nothing leaves for a worker after the drain grace period: where its socket takes no more the connection ends instead.
+    /// Resets connections whose unsent work would otherwise be sent to a draining or removed worker after
+    /// the drain grace period.
     fn reset_stalled_after_grace(&mut self, next_check: Time) {
         let now = self.context.net().now();
         let pool = &self.context.scheduler.host;
@@ -139,7 +143,7 @@
                 worker = pool
                     .worker_names
                     .resolve(pool.connections[connection].worker),
-                "worker connection reset: it is draining and reads nothing"
+                "worker connection reset: worker is no longer active and does not read"
             );
             self.reset_worker_connection(connection, conn, CloseReason::Reset);
         }
@@ -151,7 +155,7 @@
         self.worker_connection_closed(connection, reason);
     }
 
-    /// Workers left or restarted: what has not left for them is decided again.
+    /// Ends the unsent calls to workers that left or restarted, so that the scheduler decides again.
     pub(crate) fn withdraw_unsent_calls(&mut self) {
         let pool = &mut self.context.scheduler.host;
         let withdrawn = pool.take_withdrawn_workers();
@@ -166,8 +170,8 @@
         self.reset_stalled_after_grace(0);
     }
 
-    /// Forgets workers that were removed for good, so that replaced machines do not add up. A failover pair's records name
-    /// workers by their index, so there none is forgotten.
+    /// Deletes the entries of removed workers, so that entries of replaced machines do not accumulate. A
+    /// failover pair's records name workers by their index, so a member of a pair deletes none.
     pub(crate) fn forget_removed_workers(&mut self) {
         if self.failover.is_some() {
             return;
--- a/crates/tidewall-gateway/src/worker_events.rs
+++ b/crates/tidewall-gateway/src/worker_events.rs
@@ -1,4 +1,4 @@
-//! What workers say, as the gateway handles it: the `WorkerEvents` of one connection.
+//! Handles messages from workers: the implementation of `WorkerEvents` for one connection.
 use crate::error::ProtocolError;
 use crate::ingress::Disposition;
 use crate::protocol::{CallName, WorkerEvents};
@@ -9,7 +9,7 @@
 use tidewall_wire::{Field, Fields, WireError};
 use tracing::{debug, warn};
 
-/// Handles what a worker says on one of its connections.
+/// Handles the messages that a worker sends on one connection.
 pub(crate) struct WorkerEventHandler<'a, N: Net> {
     gateway: &'a mut Gateway<N>,
     connection: usize,
@@ -31,7 +31,7 @@
         self.gateway.context.scheduler.host.connections[self.connection].worker
     }
 
-    /// The call that an answer names, with its kind; none where it has ended and was removed.
+    /// The call that an answer names, with its kind; none if the call has ended and was removed.
     fn call(&mut self, name: CallName) -> Result<Option<(usize, CallKind)>, ProtocolError> {
         let connection = self.connection;
         let pool = self.pool();
@@ -39,13 +39,14 @@
         Ok(key.map(|key| (key, pool.calls[key].kind)))
     }
 
-    /// The worker's own end of a call: its outcome is handed on, and nothing more is awaited.
+    /// Ends a call with the worker's own answer: reports the outcome and removes the call.
     fn end_call(&mut self, key: usize, outcome: Outcome, number: u32) {
         self.gateway.call_ended(key, outcome, number);
         self.pool().remove_call(key);
     }
 
-    /// The worker is a later incarnation than the endpoint list says: it restarted before the discovery server noticed.
+    /// Handles a worker that is a later incarnation than the endpoint list says: it restarted before the
+    /// discovery server noticed.
     fn restarted(&mut self, worker: usize, incarnation: u64, age: Time) {
         let pool = self.pool();
         let now = pool.net.now();
@@ -78,7 +79,7 @@
         let pool = self.pool();
         let expected = pool.worker_names.resolve(worker);
         if role != "worker" || name != expected {
-            // Another one has come to live at this address: nothing was sent, so nothing was executed.
+            // Another process uses this address by now. Nothing was sent to it, so nothing was executed.
             let reason = format!("{role} {name} answers for {expected}");
             return Err(WireError::invalid(Field::Name, reason).into());
         }
@@ -122,7 +123,7 @@
     ) -> Result<(), ProtocolError> {
         if let Some((key, CallKind::Attempt { request, .. })) = self.call(name)? {
             if !self.pool().calls[key].ended && outcome == Outcome::Ok {
-                // The first good answer is the client's at once.
+                // The first successful answer is sent to the client immediately.
                 self.gateway
                     .respond(request, Disposition::Completed, payload);
             }
--- a/crates/tidewall-gateway/src/worker_pool/calls.rs
+++ b/crates/tidewall-gateway/src/worker_pool/calls.rs
@@ -1,4 +1,5 @@
-//! Calls: what was asked of a worker and has one answer. Their table, timers, ids on the wire and place on a connection.
+//! Calls: the messages to a worker that each have one answer. Holds their table, timers, ids on the wire
+//! and assignment to connections.
 use super::WorkerPool;
 use crate::error::ProtocolError;
 use crate::protocol::CallName;
@@ -17,16 +18,17 @@
         /// The attempt's number, from 0.
         attempt: usize,
     },
-    /// A load request: how many instances of a function the worker is to have.
+    /// A load request: sets the number of instances of a function on the worker.
     LoadRequest {
         /// The function's index.
         function: usize,
     },
     /// A health check.
     HealthCheck,
-    /// A vote of a failover pair.
+    /// A vote for a failover pair.
     Vote {
-        /// The voter's index; none for a worker that only hears of a leadership proposal.
+        /// The voter's index; none if the worker is not a voter and is only informed of a leadership
+        /// proposal.
         voter: Option<usize>,
         /// The ballot that is voted on.
         ballot: u64,
@@ -35,32 +37,33 @@
     },
 }
 
-/// Something asked of a worker that has one answer.
+/// A message to a worker that has one answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// What is asked.
+    /// What the call asks for.
     pub kind: CallKind,
-    /// The worker that is asked.
+    /// Index of the worker that is called.
     pub worker: usize,
-    /// Of an attempt: its request's id; else 0.
+    /// For an attempt: the request's id; otherwise 0.
     pub request_id: u64,
-    /// The connection that it waits on or was sent on; none before one is assigned and once it has closed.
+    /// The connection that the call waits on or was sent on; none before one is assigned and after it has
+    /// closed.
     pub connection: Option<usize>,
-    /// Its index in its connection's list of waiting or of sent calls.
+    /// The call's index in its connection's list of waiting or sent calls.
     list_position: usize,
-    /// Tells the successive users of a slab key apart on the wire.
+    /// Distinguishes successive calls with the same slab key on the wire.
     pub generation: u32,
-    /// Of a load request: the instances wanted; else 0.
+    /// For a load request: the number of instances requested; otherwise 0.
     pub instances: u32,
-    /// Written to its connection: from here on it may have been executed.
+    /// The call was written to its connection and may have been executed.
     pub sent: bool,
-    /// The scheduler has its outcome; only the worker's own answer is still awaited.
+    /// The scheduler has the call's outcome; only the worker's own answer is still awaited.
     pub ended: bool,
-    /// When it was started.
+    /// When the call was started.
     pub started_at: Time,
-    /// The net's total stall at that time.
+    /// The net's total stall time when the call was started.
     pub stall_at_start: Time,
-    /// When the gateway stops waiting for its answer.
+    /// When the gateway stops waiting for the answer.
     pub(super) expires_at: Time,
     timer: Option<TimerId>,
 }
@@ -71,7 +74,7 @@
         self.request_id == request_id && self.is_attempt()
     }
 
-    /// What the worker is asked by it; none for a vote.
+    /// The question that the call puts to the worker; none for a vote.
     pub fn question(&self) -> Option<Question> {
         match self.kind {
             CallKind::Attempt { .. } => Some(Question::Attempt),
@@ -88,12 +91,12 @@
     }
 }
 
-/// So many abandoned requests of a connection are remembered: far more than a connection's streams, and an answer that
-/// crosses a cancellation comes within a round trip.
+/// Number of abandoned requests remembered per connection. This is far more than a connection's streams,
+/// and an answer that crosses a cancellation arrives within a round trip.
 const MAX_ABANDONED_REQUESTS: usize = 128;
 
 impl<N: Net> WorkerPool<N> {
-    /// Adds a call and sets its timer; gives its key. It is not assigned to a connection yet.
+    /// Adds a call, sets its timer and returns its key. The call is not assigned to a connection yet.
     pub(crate) fn start_call(
         &mut self,
         kind: CallKind,
@@ -121,21 +124,22 @@
             expires_at,
             timer: None,
         };
-        // What has not left by the time that a connection may take does not leave any more: its request moves on, and what it
-        // would take effect with later is what the scheduler counted with.
-        let first = match kind {
+        // A call that is not sent within the connect timeout is not sent any more: its request is tried
+        // elsewhere. If the call were sent later, it would take effect at a time that the scheduler did not
+        // plan for.
+        let timer_at = match kind {
             CallKind::Vote { .. } => expires_at,
             _ => expires_at.min(started_at + self.limits.connect_timeout),
         };
         let key = self.calls.insert(call);
-        self.calls[key].timer = Some(self.net.set_timer(first, TimerToken::Call(key).pack()));
+        self.calls[key].timer = Some(self.net.set_timer(timer_at, TimerToken::Call(key).pack()));
         key
     }
 
-    /// The call that a worker's answer names, if it belongs to this connection and is still the same one.
+    /// Finds the call that a worker's answer names. Returns `None` if no current call has that id.
     ///
     /// # Errors
-    /// Where the call was sent on another connection.
+    /// If the call was sent on another connection.
     pub fn call_key(
         &self,
         name: CallName,
@@ -164,12 +168,12 @@
         }
     }
 
-    /// The id that names a call on the wire: its key below, its generation above.
+    /// The call's id on the wire: its key in the lower 32 bits, its generation in the upper 32.
     pub(super) fn wire_call_id(&self, key: usize) -> u64 {
         key as u64 | u64::from(self.calls[key].generation) << 32
     }
 
-    /// The scheduler gets this call's outcome now.
+    /// Marks the call as ended because the scheduler now receives its outcome.
     pub fn finish_call(&mut self, key: usize) {
         self.cancel_call_timer(key);
         self.calls[key].ended = true;
@@ -182,14 +186,14 @@
         }
     }
 
-    /// Removes a call: nothing more is awaited for it.
+    /// Removes a call for which no answer is awaited any more.
     pub fn remove_call(&mut self, key: usize) {
         self.cancel_call_timer(key);
         self.detach(key);
         self.calls.remove(key);
     }
 
-    /// Removes a call that ended before it was sent, or of which the worker says nothing more.
+    /// Removes an ended call that was never sent, or whose cancellation the worker does not confirm.
     pub fn remove_ended_call(&mut self, key: usize) {
         let Some(call) = self.calls.get(key).filter(|call| call.ended) else {
             return;
@@ -208,7 +212,8 @@
         self.remove_call(key);
     }
 
-    /// Tells the worker that nobody waits for this attempt, where it would not hear it by the attempt's own timeout.
+    /// Cancels an expired attempt at its worker, which might not learn from the attempt's own timeout that
+    /// nobody waits for it. Sent only in protocols that do not confirm cancellations.
     pub fn cancel_expired_call(&mut self, key: usize) {
         let call = self.calls[key];
         if call.sent && !self.protocol.confirms_cancelled() && call.is_attempt() {
@@ -220,8 +225,8 @@
         }
     }
 
-    /// The call's timer fired. Gives the key where the call has expired; none where it was sent and there is time for its
-    /// answer.
+    /// Handles the call's timer. Returns the key if the call has expired; returns `None` and sets the timer
+    /// again if the call was sent and its time for an answer has not passed.
     pub fn call_timer_fired(&mut self, key: usize) -> Option<usize> {
         let now = self.net.now();
         let call = self.calls.get_mut(key).filter(|call| !call.ended)?;
@@ -235,13 +240,13 @@
         Some(key)
     }
 
-    /// The outcome is known already; it is delivered once the scheduler's call has returned.
+    /// Queues an outcome that is known already; it is delivered once the scheduler's call has returned.
     pub(crate) fn defer_outcome(&mut self, key: usize, outcome: Outcome) {
         let generation = self.calls[key].generation;
         self.deferred_outcomes.push_back((key, generation, outcome));
     }
 
-    /// Puts a call on its connection's list of waiting or of sent calls.
+    /// Adds a call to its connection's list of waiting or sent calls.
     pub(super) fn attach(&mut self, key: usize, connection: usize, sent: bool) {
         let list = self.connections[connection].calls_mut(sent);
         let call = &mut self.calls[key];
@@ -251,7 +256,7 @@
         list.push(key);
     }
 
-    /// Takes a call off its connection's list, without a search.
+    /// Removes a call from its connection's list in constant time.
     pub(super) fn detach(&mut self, key: usize) {
         let call = self.calls[key];
         let connection = call.connection.and_then(|c| self.connections.get_mut(c));
--- a/crates/tidewall-gateway/src/worker_pool/connections.rs
+++ b/crates/tidewall-gateway/src/worker_pool/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to workers: which one a call is assigned to, when another is opened, and which are to be closed.
+//! Connections to workers: decides to which connection a call is assigned, when another connection is
+//! opened, and which connections are closed.
 use super::{Call, GatewayLimits, WorkerPool};
 use crate::timers::TimerToken;
 use std::collections::VecDeque;
@@ -11,28 +12,28 @@
     /// The worker's index.
     pub worker: usize,
     pub(super) conn: Conn,
-    /// The worker has greeted, or needs no greeting: calls may be sent.
+    /// The worker has greeted, or its protocol has no greeting, so that calls may be sent.
     pub ready: bool,
-    /// Bytes written to it in all.
+    /// Total number of bytes written to the connection.
     pub written: usize,
-    /// Of these, the bytes up to the last that bring work: an attempt or a load request.
+    /// Value of `written` after the last attempt or load request.
     pub(super) last_work_offset: usize,
-    /// Attempts on it, sent or waiting.
+    /// Number of attempts on the connection, sent or waiting.
     pub(super) streams: usize,
-    /// Keys of the calls that wait for its socket.
+    /// Keys of the calls that wait to be written to the socket.
     pub waiting: Vec<usize>,
-    /// Keys of the calls that were sent on it.
+    /// Keys of the calls that were sent on the connection.
     pub sent: Vec<usize>,
-    /// Requests whose attempts on it were abandoned: an answer may still be on its way.
+    /// Ids of requests whose attempts on this connection were abandoned; answers to them may still arrive.
     pub(super) abandoned_requests: VecDeque<u64>,
-    /// Since when a part of a message has been waiting for its rest.
+    /// Since when an incomplete message has been waiting for its remaining bytes.
     pub partial_since: Option<Time>,
-    /// When a call was last sent or the connection became ready.
+    /// When a call was last sent, or the connection became ready.
     pub(super) last_used: Time,
     last_received: Time,
-    /// When it became ready.
+    /// When the connection became ready.
     pub(super) ready_at: Time,
-    /// Until it fires the worker must have greeted.
+    /// Fires if the worker has not greeted within the connect timeout.
     greeting_timer: Option<TimerId>,
 }
 
@@ -56,12 +57,12 @@
         }
     }
 
-    /// No call waits or was sent on it.
+    /// Whether no call waits or awaits an answer on the connection.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.sent.is_empty()
     }
 
-    /// The list of sent or of waiting calls.
+    /// The list of sent calls if `sent`, otherwise the list of waiting calls.
     pub(super) fn calls_mut(&mut self, sent: bool) -> &mut Vec<usize> {
         if sent {
             &mut self.sent
@@ -72,8 +73,9 @@
 }
 
 impl GatewayLimits {
-    /// Connections to one of so many workers. Workers are replaced: the old one's may still be open beside the new one's, so
-    /// each gets half of an equal part; below four workers it is the part of four, as the first lists are short.
+    /// Maximum number of connections to each of `workers` workers. When a worker is replaced, the old
+    /// worker's connections may still be open beside the new one's, so each worker gets half of an equal
+    /// share. The share is computed for at least four workers, because the first endpoint lists are short.
     pub(super) fn connections_per_worker_of(&self, workers: usize) -> usize {
         self.connections_per_worker
             .min(self.max_worker_connections / (2 * workers.max(4)))
@@ -82,8 +84,9 @@
 }
 
 impl<N: Net> WorkerPool<N> {
-    /// Assigns a call to a connection of its worker: one with a free stream, one that is being opened, or a new one. Where
-    /// none can be had its outcome is `AtCapacity`.
+    /// Assigns a call to a connection of its worker: a ready one with a free stream, one that is being
+    /// opened, or a new one. Without any of these the call's outcome is `AtCapacity`, or `Discarded` if no
+    /// descriptor is free.
     pub(crate) fn assign_connection(&mut self, key: usize) {
         let call = self.calls[key];
         let worker = &self.workers[call.worker];
@@ -94,9 +97,9 @@
         let is_crowded = ready.is_some_and(|connection| {
             self.connections[connection].streams + 1 >= self.limits.spread_threshold
         });
-        let opens_spare =
+        let opens_additional =
             call.is_attempt() && may_open && has_descriptor && is_crowded && opening.is_none();
-        if let Some(address) = address.filter(|_| opens_spare) {
+        if let Some(address) = address.filter(|_| opens_additional) {
             self.open_connection(call.worker, address);
         }
         let connection = match (ready.or(opening), address) {
@@ -104,9 +107,9 @@
             (None, Some(address)) if may_open && (has_descriptor || self.close_longest_idle()) => {
                 self.open_connection(call.worker, address)
             }
-            // All descriptors are in use: that says nothing of the worker.
+            // All descriptors are in use, which is no evidence about the worker.
             (None, Some(_)) if may_open => return self.defer_outcome(key, Outcome::Discarded),
-            // All streams of all its connections are taken.
+            // All streams of all the worker's connections are in use.
             _ => return self.defer_outcome(key, Outcome::AtCapacity),
         };
         self.connections[connection].streams += usize::from(call.is_attempt());
@@ -116,8 +119,9 @@
         }
     }
 
-    /// Of the worker's connections that can take this call: the best ready one, and the first that is being opened. One on
-    /// which an answer stopped half-way comes last, as it may be of no further use; then the fewest streams count.
+    /// Returns the best ready connection that can take this call, and the first one that is being opened.
+    /// Ready connections are ordered by their number of streams, those with an incomplete message last
+    /// because they may be broken.
     fn usable_connections(&self, call: &Call) -> (Option<usize>, Option<usize>) {
         let usable = self.workers[call.worker]
             .connections
@@ -144,7 +148,7 @@
             return true;
         }
         let connection = &self.connections[connection];
-        // An id twice on one connection: the answers of the two could not be told apart.
+        // If one connection carried a request id twice, the two answers could not be told apart.
         let has_request_id = || {
             let mut calls = connection.sent.iter().chain(&connection.waiting);
             self.protocol.answers_by_request_id()
@@ -154,7 +158,7 @@
         connection.streams < self.limits.streams_per_connection && !has_request_id()
     }
 
-    /// Resets the connection that has been idle for longest; false where none is idle.
+    /// Resets the connection that has been idle for longest; returns false if none is idle.
     fn close_longest_idle(&mut self) -> bool {
         let longest_idle = self
             .connections
@@ -165,7 +169,8 @@
         let Some((key, conn, worker)) = longest_idle else {
             return false;
         };
-        // At once, not at the end of the wake-up: its descriptor is wanted now. Nothing is heard of it any more.
+        // Reset immediately and not at the end of the wake-up, because its descriptor is needed now. No
+        // further event of this connection is delivered.
         self.net.reset(conn);
         let connection = self.connections.remove(key);
         self.cancel_greeting_timer(&connection);
@@ -175,7 +180,7 @@
         true
     }
 
-    /// The endpoint list has changed: the connections are divided among its workers again.
+    /// Recomputes the connection limit per worker after the endpoint list has changed.
     pub fn redistribute_connections(&mut self) {
         let workers = self.workers.iter().filter(|worker| worker.is_known());
         self.connections_per_worker = self.limits.connections_per_worker_of(workers.count());
@@ -198,7 +203,7 @@
         key
     }
 
-    /// Calls may be sent: what waits leaves at the end of the wake-up.
+    /// Marks a connection as ready; its waiting calls are sent at the end of the wake-up.
     pub fn connection_ready(&mut self, connection: usize) {
         let now = self.net.now();
         let entry = &mut self.connections[connection];
@@ -212,7 +217,7 @@
         self.writable_connections.push(connection);
     }
 
-    /// The connection's socket takes more.
+    /// The connection's socket accepts more bytes.
     pub fn connection_writable(&mut self, connection: usize) {
         self.writable_connections.push(connection);
     }
@@ -224,7 +229,7 @@
         }
     }
 
-    /// The connection, if its worker has not greeted yet.
+    /// Returns the connection if its worker has not greeted yet.
     pub fn unready_connection(&self, connection: usize) -> Option<Conn> {
         self.connections
             .get(connection)
@@ -232,7 +237,7 @@
             .map(|entry| entry.conn)
     }
 
-    /// Bytes came from the worker.
+    /// Records that bytes arrived from the worker.
     pub fn bytes_received(&mut self, connection: usize) {
         let now = self.net.now();
         if let Some(entry) = self.connections.get_mut(connection) {
@@ -240,7 +245,8 @@
         }
     }
 
-    /// Whether part of a message is left of the connection's bytes once its complete messages have been read.
+    /// Records whether an incomplete message remains after the connection's complete messages have been
+    /// read.
     pub fn set_partial_message(&mut self, connection: usize, partial: bool) {
         let now = self.net.now();
         if let Some(entry) = self.connections.get_mut(connection) {
@@ -248,7 +254,7 @@
         }
     }
 
-    /// Connections on which the rest of a message has been missing for the protocol's timeout.
+    /// Connections on which the rest of an incomplete message has been missing for the protocol's timeout.
     pub fn stalled_connections(&self, now: Time) -> Vec<(usize, Conn)> {
         let timeout = self.protocol.partial_message_timeout();
         self.connections_where(|connection| {
@@ -259,20 +265,22 @@
         })
     }
 
-    /// Connections on which work for a worker that is draining or removed still waits for its socket, and would leave after
-    /// the grace period; looked for again after `next_check`.
+    /// Connections to draining or removed workers with unsent work in their socket buffer that would be
+    /// sent after the drain grace period. Connections whose grace period ends before the next check,
+    /// `next_check` from now, are included.
     pub fn stalled_after_grace(&self, now: Time, next_check: Time) -> Vec<(usize, Conn)> {
         self.connections_where(|connection| {
             let worker = &self.workers[connection.worker];
             let grace_ends = worker.endpoint.state != EndpointState::Active
-                && worker.removed_at + self.drain_grace <= now + next_check;
+                && worker.inactive_since + self.drain_grace <= now + next_check;
             let unsent = self.net.unsent(connection.conn).min(connection.written);
             grace_ends && connection.written - unsent < connection.last_work_offset
         })
     }
 
-    /// Connections to close: idle ones, those to removed workers, and those on which only abandoned calls are left and
-    /// nothing was received for long.
+    /// Connections to close: those that have been idle for longer than the keep-alive time, and those that
+    /// have been silent for the silence timeout and either are idle and lead to a removed worker, or carry
+    /// only abandoned calls.
     pub fn idle_connections(&mut self, now: Time) -> Vec<(usize, Conn)> {
         let (keep_alive, silence) = (self.limits.keep_alive, self.limits.silence_timeout);
         self.connections_where(|connection| {
@@ -288,7 +296,8 @@
         })
     }
 
-    /// Whether a call on this connection waits, or has an end that the scheduler still awaits.
+    /// Whether a call on this connection is waiting to be sent, or was sent and still owes the scheduler an
+    /// outcome.
     pub fn awaits_answer_on(&self, connection: usize) -> bool {
         let connection = &self.connections[connection];
         let awaited = connection.sent.iter().any(|key| !self.calls[*key].ended);
--- a/crates/tidewall-gateway/src/worker_pool/counters.rs
+++ b/crates/tidewall-gateway/src/worker_pool/counters.rs
@@ -1,9 +1,9 @@
-//! Counters of what the gateway has done since it started.
+//! Counters of the gateway's activity since the process started.
 
-/// Totals since the start of the process. They are logged regularly and read by tests and reports.
+/// Totals since the process started. They are logged regularly and read by tests and reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Requests that were admitted.
+    /// Admitted requests.
     pub admitted: u64,
     /// Requests whose response is `Completed`.
     pub completed: u64,
@@ -15,9 +15,10 @@
     pub abandoned: u64,
     /// Requests that were not admitted.
     pub refused: u64,
-    /// Responses that were not sent because their client's deadline had passed, for example after a stall of this process.
+    /// Responses that were not sent because their client's deadline had passed, for example after a stall
+    /// of this process.
     pub expired: u64,
-    /// Clients that were told a failure because the record of their response was not acknowledged in time.
+    /// Clients that received a failure because the record of their response was not acknowledged in time.
     pub record_timeouts: u64,
     /// Malformed messages and datagrams.
     pub malformed: u64,
@@ -25,12 +26,13 @@
     pub attempts: u64,
     /// Load requests for at least one instance that were not rate limited.
     pub load_requests: u64,
-    /// Health checks.
+    /// Health checks that were started.
     pub health_checks: u64,
-    /// Workers that denied service, or did not answer, while the endpoint list was overdue.
+    /// Cases of a worker that denied service, or was unreachable, while the endpoint list was overdue.
     pub service_denials: u64,
-    /// Workers that came back while the list was overdue and were taken for cold.
+    /// Cases of a worker that came back while the endpoint list was overdue and was presumed to have
+    /// restarted, so that it is treated as cold.
     pub presumed_starts: u64,
-    /// Connections to workers that were opened.
+    /// Connections opened to workers.
     pub connections: u64,
 }
--- a/crates/tidewall-gateway/src/worker_pool/endpoints.rs
+++ b/crates/tidewall-gateway/src/worker_pool/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints as the pool knows them: addresses, states and incarnations of workers, from the endpoint list and from the
-//! workers themselves.
+//! The pool's endpoint table: addresses, states and incarnations of workers, from the endpoint list and
+//! from the workers themselves.
 use super::{Call, CallKind, WorkerPool};
 use crate::endpoints::EndpointRecord;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use tidewall::interner::fnv1a;
 use tidewall_net::{Net, Time};
 
-/// What is known of a worker. An entry without an address is free.
+/// The state known of a worker. An entry without an address is unused.
 #[derive(Default)]
 pub struct WorkerEntry {
     pub(super) address: Option<SocketAddr>,
@@ -15,13 +15,14 @@
     zone: String,
     machine: String,
     incarnation: u64,
-    /// The worker itself said that it is draining, and the discovery server has not noticed yet.
+    /// The worker itself reported that it is draining, and the endpoint list does not show this yet.
     reported_draining: bool,
-    /// Until when attempts and load requests may leave for it, by what the scheduler last knew of its being in service.
-    pub(super) departures_until: Time,
-    /// When it was told that the worker is draining or removed.
-    pub(super) removed_at: Time,
-    /// Keys of the connections to it.
+    /// Until when attempts and load requests may be sent to the worker, given what the scheduler last knew
+    /// about it being in service.
+    pub(super) send_allowed_until: Time,
+    /// When the gateway learned that the worker is draining or removed.
+    pub(super) inactive_since: Time,
+    /// Keys of the connections to the worker.
     pub connections: Vec<usize>,
 }
 
@@ -37,8 +38,8 @@
     }
 }
 
-/// The index of a name in the settings' list; `u32::MAX`, which is the scheduler's word for "unknown", where it is not
-/// there.
+/// Returns the index of a name in the settings' list, or `u32::MAX`, which the scheduler reads as
+/// "unknown".
 fn index_of(names: &[String], name: &str) -> u32 {
     names
         .iter()
@@ -47,8 +48,9 @@
 }
 
 impl<N: Net> WorkerPool<N> {
-    /// Takes over one record of the endpoint list and gives it in the scheduler's terms. A start that is known already
-    /// keeps its time, or each list would look like another start.
+    /// Applies one record of the endpoint list and returns the worker's index and endpoint for the
+    /// scheduler. The start time of a known incarnation is kept; otherwise each list would look like
+    /// another start.
     pub fn register_endpoint(&mut self, record: &EndpointRecord) -> (usize, Endpoint) {
         let now = self.net.now();
         let zone = index_of(&self.zones, &record.zone);
@@ -62,11 +64,11 @@
         let started_at = match (restarted, record.age) {
             (false, _) => worker.endpoint.started_at,
             (true, 0) => 0,
-            // 0 would mean long ago. A start before our own clock began is as old as that.
+            // 0 would mean "started long ago". A start before this process's clock began is mapped to 1.
             (true, age) => now.saturating_sub(age).max(1),
         };
-        // A list that was made before the discovery server noticed does not bring back a worker that said that it is
-        // draining.
+        // A list that was produced before the discovery server noticed does not reactivate a worker that
+        // reported that it is draining.
         worker.reported_draining &=
             record.state == EndpointState::Active && record.incarnation <= worker.incarnation;
         let state = if worker.reported_draining {
@@ -77,7 +79,7 @@
         let leaves =
             state != EndpointState::Active && worker.endpoint.state == EndpointState::Active;
         if leaves {
-            worker.removed_at = now;
+            worker.inactive_since = now;
         }
         if leaves || restarted {
             self.withdrawn_workers.push(index);
@@ -98,7 +100,7 @@
         (index, worker.endpoint)
     }
 
-    /// After a complete list: workers that are not in it are removed.
+    /// Marks all workers that are not in a complete list as removed.
     pub fn retain_listed(&mut self, listed: &[(usize, Endpoint)]) {
         let now = self.net.now();
         let mut is_listed = vec![false; self.workers.len()];
@@ -106,7 +108,7 @@
         for (index, worker) in self.workers.iter_mut().enumerate() {
             if !is_listed[index] && worker.endpoint.state != EndpointState::Removed {
                 if worker.endpoint.state == EndpointState::Active {
-                    worker.removed_at = now;
+                    worker.inactive_since = now;
                     self.withdrawn_workers.push(index);
                 }
                 worker.endpoint.state = EndpointState::Removed;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Removed workers without connections and calls.
+    /// Indexes of removed workers that have no connections and no calls.
     pub fn removed_idle_workers(&self) -> Vec<usize> {
         let mut has_calls = vec![false; self.workers.len()];
         self.calls
@@ -135,13 +137,13 @@
             .collect()
     }
 
-    /// Forgets a worker: its index may name another one from now on.
+    /// Deletes a worker's entry; its index may be reused for another worker.
     pub fn forget_worker(&mut self, worker: usize) {
         self.worker_names.remove(worker);
         self.workers[worker] = WorkerEntry::default();
     }
 
-    /// Whether an address is known for this worker.
+    /// Whether the worker's address is known.
     pub fn has_address(&self, worker: usize) -> bool {
         self.workers
             .get(worker)
@@ -153,8 +155,8 @@
         self.workers[worker].incarnation
     }
 
-    /// The worker greeted as a later incarnation, which started `age` ago. Gives its endpoint where the scheduler is to hear
-    /// of it.
+    /// Records that the worker greeted as a later incarnation, which started `age` ago. Returns its
+    /// endpoint if the scheduler must be told.
     pub fn worker_restarted(
         &mut self,
         worker: usize,
@@ -167,11 +169,12 @@
         entry.reported_draining = false;
         self.withdrawn_workers.push(worker);
         entry.endpoint.started_at = now.saturating_sub(age).max(1);
-        // One that the endpoint list calls removed stays so until the list says otherwise.
+        // A worker that the endpoint list shows as draining or removed keeps that state until the list
+        // changes.
         (entry.endpoint.state == EndpointState::Active).then_some(entry.endpoint)
     }
 
-    /// The worker said that it is draining. Gives its endpoint where that is news.
+    /// Records that the worker reported that it is draining. Returns its endpoint if the worker was active.
     pub fn worker_draining(&mut self, worker: usize) -> Option<Endpoint> {
         let now = self.net.now();
         let entry = &mut self.workers[worker];
@@ -180,12 +183,12 @@
         }
         entry.endpoint.state = EndpointState::Draining;
         entry.reported_draining = true;
-        entry.removed_at = now;
+        entry.inactive_since = now;
         self.withdrawn_workers.push(worker);
         Some(entry.endpoint)
     }
 
-    /// Workers that left or restarted since this was last asked, the latest first, each once.
+    /// Takes the workers that left or restarted since the last call, the latest first, each once.
     pub fn take_withdrawn_workers(&mut self) -> Vec<usize> {
         let mut seen = vec![false; self.workers.len()];
         let mut withdrawn = std::mem::take(&mut self.withdrawn_workers);
@@ -194,8 +197,8 @@
         withdrawn
     }
 
-    /// Attempts and load requests for these workers that have not left, with their generations, in the workers' order: all
-    /// that is known of them is that they were not executed.
+    /// Unsent attempts and load requests for these workers, with their generations, in the order of
+    /// `workers`. They certainly were not executed.
     pub fn unsent_calls(&self, workers: &[usize]) -> Vec<(usize, u32)> {
         let mut rank = vec![usize::MAX; self.workers.len()];
         for (position, worker) in workers.iter().enumerate() {
@@ -219,7 +222,7 @@
         unsent
     }
 
-    /// The endpoint list as the pool knows it, without removed workers.
+    /// The current endpoint list, without removed workers.
     pub fn endpoint_records(&self) -> Vec<EndpointRecord> {
         let now = self.net.now();
         let record = |(index, worker): (usize, &WorkerEntry)| {
--- a/crates/tidewall-gateway/src/worker_pool/flush.rs
+++ b/crates/tidewall-gateway/src/worker_pool/flush.rs
@@ -1,4 +1,4 @@
-//! Sending: at the end of a wake-up the waiting calls of each connection leave in one write.
+//! Sending: at the end of a wake-up the waiting calls of each connection are sent in one write.
 use super::{Call, CallKind, WorkerPool};
 use crate::effect_policy::{
     permit_attempt, permit_load, AttemptFacts, AttemptPermit, ClientInput, LoadPermit, Refusal,
@@ -10,15 +10,16 @@
 use tidewall_net::{Net, Time};
 use tracing::debug;
 
-/// A batch that grew for a burst gives its memory back: 16 KiB, a few usual messages.
+/// Capacity that the batch buffer keeps after a burst: 16 KiB, which holds a few usual messages.
 const MAX_KEPT_BATCH: usize = 16 << 10;
 
-/// Attempts of a request are put off so often at most. Each time the sockets are read, 64 KiB of each connection: a client that
-/// has sent more than half a megabyte behind its request is not waited for.
-const MAX_PUT_OFF: u32 = 8;
+/// How often the attempts of a request may be postponed. Each read takes up to 64 KiB from a connection, so
+/// the gateway does not wait for input of a client that has sent more than half a megabyte after its
+/// request.
+const MAX_POSTPONEMENTS: u32 = 8;
 
 impl<N: Net> WorkerPool<N> {
-    /// The wake-up is over: what waits leaves. False once there was nothing.
+    /// Sends the waiting calls of all writable connections. Returns false if there was no such connection.
     pub fn flush(&mut self) -> bool {
         let mut any = false;
         while let Some(connection) = self.writable_connections.pop() {
@@ -28,8 +29,9 @@
         any
     }
 
-    /// What waits on a connection leaves as far as its socket takes it. The rest goes on waiting and provably was not
-    /// executed: of what the net holds of it only the end of one message has not left.
+    /// Sends a connection's waiting calls as far as its socket accepts them. The others keep waiting and
+    /// certainly were not executed: the net buffers at most the rest of one message that was partly
+    /// accepted.
     fn flush_connection(&mut self, connection: usize) {
         let waiting = self
             .connections
@@ -49,7 +51,7 @@
                 break;
             }
             if end > accepted {
-                // Begun: the rest of it has to follow.
+                // The socket accepted a part of this message, so the rest has to follow.
                 self.net.write(conn, &batch[accepted..end]);
             }
             self.mark_sent(key, connection, end - start, now);
@@ -61,15 +63,16 @@
         (self.batch, self.batch_ends) = (batch, ends);
     }
 
-    /// Writes the messages of a connection's waiting calls that may leave, and the end of each, to the batch. What may not
-    /// leave any more is discarded; what waits for its client's input to be read goes on waiting.
+    /// Encodes the connection's waiting calls that may be sent into the batch, with the end offset of each.
+    /// Calls that may not be sent any more are discarded; calls that need their client's input to be read
+    /// first keep waiting.
     fn encode_waiting(
         &mut self,
         connection: usize,
         batch: &mut Vec<u8>,
         ends: &mut Vec<(usize, usize)>,
     ) {
-        let mut puts_off = false;
+        let mut must_postpone = false;
         for index in 0..self.connections[connection].waiting.len() {
             let key = self.connections[connection].waiting[index];
             match self.encode_call(key) {
@@ -77,31 +80,31 @@
                     batch.extend_from_slice(&self.frame);
                     ends.push((key, batch.len()));
                 }
-                Err(refusal) if refusal.is_cured_by_reading() => puts_off = true,
+                Err(refusal) if refusal.is_resolved_by_reading() => must_postpone = true,
                 Err(_) => self.defer_outcome(key, Outcome::Discarded),
             }
         }
-        if puts_off {
-            self.put_off(connection);
+        if must_postpone {
+            self.postpone_connection(connection);
         }
     }
 
-    /// What waits on this connection is looked at again in the next wake-up, which reads the sockets first.
-    fn put_off(&mut self, connection: usize) {
-        if self.put_off_connections.is_empty() {
+    /// Retries this connection's waiting calls in the next wake-up, which reads the sockets first.
+    fn postpone_connection(&mut self, connection: usize) {
+        if self.postponed_connections.is_empty() {
             let now = self.net.now();
-            self.net.set_timer(now, TimerToken::PutOffSends.pack());
+            self.net.set_timer(now, TimerToken::PostponedSends.pack());
         }
-        self.put_off_connections.push(connection);
+        self.postponed_connections.push(connection);
     }
 
-    /// The sockets were read: what was put off is looked at at the end of this wake-up.
-    pub(crate) fn resume_put_off(&mut self) {
-        let put_off = std::mem::take(&mut self.put_off_connections);
-        self.writable_connections.extend(put_off);
+    /// Called after the sockets were read: the postponed calls are retried at the end of this wake-up.
+    pub(crate) fn resume_postponed(&mut self) {
+        let postponed = std::mem::take(&mut self.postponed_connections);
+        self.writable_connections.extend(postponed);
     }
 
-    /// A call's message of `length` bytes has begun to leave.
+    /// Marks a call as sent. At least the first byte of its message, which has `length` bytes, was written.
     fn mark_sent(&mut self, key: usize, connection: usize, length: usize, now: Time) {
         self.detach(key);
         self.attach(key, connection, true);
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Writes a call's message into `frame`, where it may leave now.
+    /// Encodes a call's message into `frame` if it may be sent now.
     fn encode_call(&mut self, key: usize) -> Result<(), Refusal> {
         self.frame.clear();
         let Call {
@@ -144,12 +147,12 @@
         }
         match kind {
             CallKind::Attempt { request, attempt } => {
-                let permit = self.ask_for_attempt(key, request, attempt)?;
+                let permit = self.obtain_attempt_permit(key, request, attempt)?;
                 self.encode_attempt(key, request, attempt, &permit);
             }
             CallKind::LoadRequest { function } => {
                 let entry = &self.workers[worker];
-                let known = (entry.state(), entry.departures_until);
+                let known = (entry.state(), entry.send_allowed_until);
                 let permit = permit_load(instances, known, self.net.current_time(), expires_at);
                 let permit = permit.inspect_err(|refusal| self.effects.refused(*refusal))?;
                 self.encode_load_request(key, function, &permit);
@@ -165,8 +168,9 @@
         Ok(())
     }
 
-    /// Asks whether an attempt may leave now. One that was put off too often leaves, which is a violation.
-    fn ask_for_attempt(
+    /// Asks [`permit_attempt`] whether an attempt may be sent now. An attempt that was postponed too often
+    /// is sent on old input, which counts as a violation.
+    fn obtain_attempt_permit(
         &mut self,
         key: usize,
         request: usize,
@@ -186,22 +190,22 @@
                     .is_some_and(|conn| self.net.has_known_input(conn)),
             },
             endpoint: self.workers[self.calls[key].worker].endpoint,
-            departures_until: self.workers[self.calls[key].worker].departures_until,
+            send_allowed_until: self.workers[self.calls[key].worker].send_allowed_until,
             retry_safety: self.retry_safety[pending.info.class],
             unproven: &unproven,
         };
         let mut decision = permit_attempt(&facts);
-        let cured = |decision: &Result<AttemptPermit, Refusal>| {
+        let is_resolvable = |decision: &Result<AttemptPermit, Refusal>| {
             decision
                 .as_ref()
-                .is_err_and(|refusal| refusal.is_cured_by_reading())
+                .is_err_and(|refusal| refusal.is_resolved_by_reading())
         };
-        if cured(&decision) && pending.put_off >= MAX_PUT_OFF {
+        if is_resolvable(&decision) && pending.postponements >= MAX_POSTPONEMENTS {
             self.effects.violated(Violation::AttemptByOldInput);
             facts.client = ClientInput::default();
             decision = permit_attempt(&facts);
         }
-        self.requests[request].put_off += u32::from(cured(&decision));
+        self.requests[request].postponements += u32::from(is_resolvable(&decision));
         if let Err(refusal) = &decision {
             self.effects.refused(*refusal);
             let request = self.requests[request].id;
@@ -227,7 +231,7 @@
             .collect()
     }
 
-    /// The epoch under which this gateway serves; 0 where it is not one of a pair.
+    /// The epoch under which this gateway serves; 0 if it is not a member of a failover pair.
     fn serving_epoch(&self) -> u64 {
         self.replicator
             .as_ref()
@@ -281,7 +285,8 @@
             .write_load_request(&mut self.frame, id, &message);
     }
 
-    /// Writes `frame` to a worker; false where its buffer is full or its connection closed.
+    /// Writes `frame` to a worker. Returns false if the connection's buffer is full or the connection is
+    /// closed.
     pub(super) fn write_frame(&mut self, connection: Option<usize>) -> bool {
         let Some(entry) = connection.and_then(|key| self.connections.get_mut(key)) else {
             return false;
--- a/crates/tidewall-gateway/src/worker_pool/mod.rs
+++ b/crates/tidewall-gateway/src/worker_pool/mod.rs
@@ -1,6 +1,6 @@
-//! The worker pool: the scheduler's actions on sockets. Attempts, load requests and health checks are calls that travel as
-//! streams on a few connections to each worker. It owns the requests in flight, the calls, the connections to workers and
-//! what is known of each worker.
+//! The worker pool carries out the scheduler's actions on sockets. Attempts, load requests and health
+//! checks are calls, which are multiplexed as streams on a few connections to each worker. The pool owns
+//! the requests in flight, the calls, the connections to workers and the state known of each worker.
 mod calls;
 mod connections;
 mod counters;
@@ -33,35 +33,36 @@
 /// Limits of the gateway, from the settings. Times are whole tenths of a millisecond.
 #[derive(Clone, Debug)]
 pub struct GatewayLimits {
-    /// Requests in flight at once.
+    /// Maximum number of requests in flight.
     pub max_requests: usize,
-    /// How long opening a connection, greeting included, may take.
+    /// Timeout for opening a connection, including the worker's greeting.
     pub connect_timeout: Time,
-    /// Attempts on one connection at once.
+    /// Maximum number of concurrent attempts on one connection.
     pub streams_per_connection: usize,
-    /// Connections to one worker.
+    /// Maximum number of connections to one worker.
     pub connections_per_worker: usize,
-    /// Connections to all workers together.
+    /// Maximum number of connections to all workers together.
     pub max_worker_connections: usize,
-    /// With so many attempts on each connection another one is opened, while there may be more: what breaks one then ends
-    /// fewer attempts.
+    /// When every connection to a worker carries this many attempts, another is opened if the limits allow
+    /// it: a broken connection then ends fewer attempts.
     pub spread_threshold: usize,
-    /// How long an unused connection is kept.
+    /// How long an unused connection is kept open.
     pub keep_alive: Time,
-    /// How long a health check may take.
+    /// Timeout of a health check.
     pub health_check_timeout: Time,
-    /// How long a load request may take.
+    /// Timeout of a load request.
     pub load_request_timeout: Time,
-    /// How long a connection with nothing but abandoned calls, or to a removed worker, may be silent.
+    /// How long a connection that carries only abandoned calls, or that leads to a removed worker, may be
+    /// silent before it is closed.
     pub silence_timeout: Time,
 }
 
-/// The state behind the scheduler's actions.
+/// The state on which the scheduler's actions operate.
 pub struct WorkerPool<N: Net> {
     /// The network and the clock.
     pub net: N,
     limits: GatewayLimits,
-    /// Connections that each worker may have, given the number of workers.
+    /// Maximum number of connections to each worker, given the current number of workers.
     connections_per_worker: usize,
     /// Names of the request classes, in the settings' order.
     pub class_names: Vec<String>,
@@ -75,40 +76,41 @@
     pub workers: Vec<WorkerEntry>,
     /// Names of functions by their index.
     pub function_names: Interner,
-    /// By function: lanes, memory and load hint that a load request carries.
+    /// By function index: the lanes, memory and load hint that a load request carries.
     function_resources: Vec<(u32, f64, Time)>,
-    /// Requests by their slot.
+    /// Requests by slot.
     pub requests: Vec<PendingRequest>,
-    /// How many of them are open.
+    /// Number of open requests.
     pub in_flight: usize,
-    /// Calls whose answer is awaited.
+    /// Calls that await an answer.
     pub calls: Slab<Call>,
     call_generation: u32,
     /// Connections to workers.
     pub connections: Slab<WorkerConnection>,
-    /// Connections that were opened and have no owner yet.
+    /// Newly opened connections that the event loop has not yet assigned an owner.
     pub opened_connections: Vec<(Conn, usize)>,
-    /// Connections on which something waits to leave at the end of the wake-up.
+    /// Connections with calls to send at the end of the wake-up.
     writable_connections: Vec<usize>,
-    /// What leaves on one of them: the bytes, and each call with the end of its message.
+    /// The batch that is sent on one connection: the bytes, and for each call the end offset of its
+    /// message.
     batch: Vec<u8>,
     batch_ends: Vec<(usize, usize)>,
-    /// Workers that left or restarted: what waits for them was decided by what they were before.
+    /// Workers that left or restarted. Their unsent calls were decided on outdated information.
     pub withdrawn_workers: Vec<usize>,
-    /// Clients that already wait for the request that is registered next.
+    /// Clients that already wait for the next request to be registered, each with its deadline.
     pub next_waiting_clients: Vec<(ReplyHandle, Time)>,
     drain_grace: Time,
-    /// The latest deadline of all requests so far.
+    /// The latest deadline of any request so far.
     pub last_deadline: Time,
-    /// Outcomes that are known already: call, its generation, outcome.
+    /// Outcomes that were known immediately and are still to be delivered: call, its generation, outcome.
     pub deferred_outcomes: VecDeque<(usize, u32, Outcome)>,
-    /// Responses that the scheduler decided.
+    /// Responses decided by the scheduler that are still to be sent.
     pub local_responses: VecDeque<LocalResponse>,
     /// Reply handles of requests whose clients have stopped waiting.
     pub expired_clients: VecDeque<ReplyHandle>,
-    /// By ingress: its clients say when they stop waiting.
+    /// By ingress: whether its clients tell the gateway when they stop waiting.
     pub ingress_accepts_late: Vec<bool>,
-    /// The discovery connection, where the pool's wishes are written to it in native frames.
+    /// The discovery connection, if the pool writes watch and poll messages to it as native frames.
     pub discovery_connection: Option<Conn>,
     /// Whether the scheduler wants watch events.
     pub watches_endpoints: bool,
@@ -118,26 +120,27 @@
     pub peers: Vec<Option<SocketAddr>>,
     /// This gateway's index.
     pub index: usize,
-    /// Totals since the start.
+    /// Totals since the process started.
     pub counters: Counters,
-    /// What was refused by [`crate::effect_policy`], and what was found to be wrong after the fact.
+    /// Refusals by [`crate::effect_policy`], and violations that were detected after the fact.
     pub effects: EffectCounters,
     /// By request class: whether its requests may be executed again.
     retry_safety: Vec<RetrySafety>,
-    /// Connections on which attempts were put off until their clients' input was read.
-    put_off_connections: Vec<usize>,
-    /// Of a failover pair: what is replicated to the other member, and what waits for that.
+    /// Connections with attempts that are postponed until their clients' input has been read.
+    postponed_connections: Vec<usize>,
+    /// In a failover pair: the records that are replicated to the other member, and the effects that wait
+    /// for their acknowledgment.
     pub replicator: Option<Box<Replicator>>,
-    /// The message that is being written.
+    /// Buffer for the message that is being encoded.
     pub(crate) frame: Vec<u8>,
-    /// The workers' protocol.
+    /// The protocol spoken with workers.
     pub protocol: Rc<dyn WorkerProtocol>,
-    /// The longest Retry-After that clients respect; 0 where they are told none.
+    /// The longest Retry-After that clients respect; 0 if clients are given none.
     pub max_retry_after: Time,
 }
 
 impl<N: Net> WorkerPool<N> {
-    /// A pool without workers, which speaks the native protocol.
+    /// Creates a pool without workers that speaks the native protocol.
     pub fn new(net: N, settings: &Settings, limits: GatewayLimits) -> WorkerPool<N> {
         let names_of = |list: &str| {
             (0..)
@@ -176,7 +179,8 @@
             expired_clients: VecDeque::new(),
             ingress_accepts_late: Vec::new(),
             discovery_connection: None,
-            // Where changes come unasked the discovery server is still told that we are there.
+            // In push mode changes arrive without being requested, but the discovery server is still told
+            // that this gateway is there.
             watches_endpoints: settings.is("discovery", "pushed"),
             datagram_socket: None,
             peers: Vec::new(),
@@ -186,7 +190,7 @@
             retry_safety: (0..settings.number("classes.count") as usize)
                 .map(|class| settings.request_class(class).retry_safety)
                 .collect(),
-            put_off_connections: Vec::new(),
+            postponed_connections: Vec::new(),
             replicator: None,
             frame: Vec::new(),
             protocol: Rc::new(NativeWorkerProtocol),
--- a/crates/tidewall-gateway/src/worker_pool/requests.rs
+++ b/crates/tidewall-gateway/src/worker_pool/requests.rs
@@ -1,99 +1,103 @@
-//! Requests in flight: their table, and the reply handle that makes sure that each gets one response.
+//! The table of requests in flight, and the reply handle that ensures that each request gets exactly one
+//! response.
 use super::WorkerPool;
-use crate::effect_policy::{Violation, LATE_RESPONSE};
+use crate::effect_policy::{Violation, LATE_RESPONSE_THRESHOLD};
 use crate::ingress::{Disposition, IncomingRequest, ReplyHandle, LATE_RESPONSE_GRACE};
 use tidewall::choice::MAX_ATTEMPTS;
 use tidewall::interface::{Outcome, RequestInfo};
 use tidewall_net::{Conn, Net, Time};
 use tracing::warn;
 
-/// The state of a request slot. A slot is reused once the scheduler has released it, and keeps its buffers.
+/// The state of a request slot. A slot is reused, with its buffers, once the scheduler has released it.
 #[derive(Default)]
 pub struct PendingRequest {
-    /// The response is still owed.
+    /// The request has not had its response.
     pub open: bool,
-    /// Whom the response goes to.
+    /// Identifies the client that gets the response.
     pub reply_handle: ReplyHandle,
-    /// The connection on which the client says that it leaves; none where it has none of its own.
+    /// The connection on which the client reports that it abandons the request; none if the client has no
+    /// connection of its own.
     pub client: Option<Conn>,
-    /// The client's own id, for logs and workers.
+    /// The client's id for the request, for logs and workers.
     pub id: u64,
-    /// The attempt whose response has begun to be forwarded.
+    /// The attempt whose response is being forwarded to the client.
     pub streaming_attempt: Option<usize>,
     received_at: Time,
     /// Until when the client certainly waits.
     deadline: Time,
-    /// Until when it may wait at the latest: later where the request may have lain unread.
+    /// The latest time until which the client may wait: after `deadline` if the request may have been
+    /// unread for some time when it was received.
     latest_deadline: Time,
     pub(super) info: RequestInfo,
     pub(super) idempotency_key: Vec<u8>,
     pub(super) payload: Vec<u8>,
     /// By attempt: the key of its call.
     pub(super) calls: [usize; MAX_ATTEMPTS],
-    /// Attempts that were started.
+    /// Number of attempts started.
     pub(super) attempts: usize,
-    /// Attempts that may have been executed.
+    /// Number of attempts that may have been executed.
     pub unproven: u32,
-    /// Further clients that asked for the same request, each with its deadline.
+    /// Further clients that sent the same request, each with its deadline.
     pub waiting_clients: Vec<(ReplyHandle, Time)>,
-    /// By attempt: the worker it was sent to.
+    /// By attempt: the index of its worker.
     pub(super) attempt_workers: [usize; MAX_ATTEMPTS],
-    /// By attempt: when its first byte left; 0 while none has.
+    /// By attempt: when its first byte was sent; 0 if none has been.
     pub(super) sent_at: [Time; MAX_ATTEMPTS],
-    /// By attempt: whether its end proves that it was not executed; none while it has not ended.
+    /// By attempt: whether its outcome proves that it was not executed; none while it has not ended.
     pub not_executed: [Option<bool>; MAX_ATTEMPTS],
-    /// How often an attempt was put off until the client's input was read.
-    pub(super) put_off: u32,
+    /// How often an attempt was postponed until the client's input had been read.
+    pub(super) postponements: u32,
 }
 
 impl PendingRequest {
-    /// When the client stops waiting, in the net's time.
+    /// When the client stops waiting, on the net's clock.
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// Whether an attempt was sent that may have been executed. Where a second execution may do harm, the peer knows of it: the
-    /// attempt was on record before it was sent, or is part of the snapshot without which the peer may not take over.
+    /// Whether an attempt was sent that may have been executed. Where a second execution may do harm, the
+    /// peer knows of the attempt: it was recorded there before it was sent, or it is part of the snapshot
+    /// without which the peer may not take over.
     pub fn may_have_executed(&self) -> bool {
         (0..self.attempts)
             .any(|attempt| self.sent_at[attempt] > 0 && self.not_executed[attempt] != Some(true))
     }
 
-    /// What the scheduler was told of the request.
+    /// The request's properties as passed to the scheduler.
     pub fn info(&self) -> &RequestInfo {
         &self.info
     }
 
-    /// The idempotency key; empty where the request has none.
+    /// The idempotency key; empty if the request has none.
     pub fn idempotency_key(&self) -> &[u8] {
         &self.idempotency_key
     }
 
-    /// The payload, until the scheduler releases the slot.
+    /// The payload; valid until the scheduler releases the slot.
     pub fn payload(&self) -> &[u8] {
         &self.payload
     }
 }
 
-/// A response that the scheduler itself decided, or that is about to leave.
+/// A response that the scheduler decided, or that is about to be sent.
 #[derive(Clone, Copy)]
 pub struct LocalResponse {
     /// The slot of the request.
     pub request: usize,
-    /// Whom the response goes to.
+    /// Identifies the client that gets the response.
     pub reply_handle: ReplyHandle,
     /// The final disposition.
     pub disposition: Disposition,
-    /// Retry-After, in tenths of a millisecond; 0 where none is given.
+    /// Retry-After, in tenths of a millisecond; 0 if none is given.
     pub retry_after: Time,
-    /// How long the request was in flight here, in tenths of a millisecond.
+    /// How long the request was in flight at this gateway, in tenths of a millisecond.
     pub elapsed: Time,
     /// Until when the client certainly waits.
     pub deadline: Time,
 }
 
 impl<N: Net> WorkerPool<N> {
-    /// Takes the slot into use; its buffers are those of the slot's previous request.
+    /// Initialises a slot for a new request, reusing the buffers of the slot's previous request.
     pub fn register_request(
         &mut self,
         slot: usize,
@@ -121,7 +125,7 @@
         request.info = *info;
         request.attempts = 0;
         request.unproven = 0;
-        request.put_off = 0;
+        request.postponements = 0;
         request.waiting_clients.clear();
         request
             .waiting_clients
@@ -138,9 +142,9 @@
         self.replicate_admission(slot);
     }
 
-    /// The one place where the right to respond is used up: whoever gets the reply handle sends the response, and
-    /// nobody gets it twice. With `expected`, only where the slot still belongs to that handle. Also gives the time
-    /// that the request was in flight.
+    /// Closes the request and returns its reply handle with the time that the request was in flight. The
+    /// caller that gets the handle sends the response; the handle is returned only once per request. If
+    /// `expected` is given, returns the handle only if the slot still belongs to `expected`.
     pub fn take_reply_handle(
         &mut self,
         slot: usize,
@@ -156,8 +160,8 @@
         Some((request.reply_handle, now - request.received_at))
     }
 
-    /// Whether nothing may be sent for this request any more: the latest deadline that its client may have has passed, and at
-    /// its ingress the deadline is all that says when the client stops waiting.
+    /// Whether nothing may be sent for this request any more: the latest possible deadline of its client
+    /// has passed, and the clients of its ingress do not tell the gateway when they stop waiting.
     pub fn is_past_deadline(&self, slot: usize, handle: ReplyHandle) -> bool {
         let accepts_late = self
             .ingress_accepts_late
@@ -167,7 +171,7 @@
         self.net.now() > latest && !accepts_late
     }
 
-    /// A response that the scheduler decided: rejected with Retry-After, or failed.
+    /// Responds to a request as the scheduler decided: rejected with Retry-After, or failed.
     pub(super) fn respond_locally(
         &mut self,
         slot: usize,
@@ -183,7 +187,7 @@
             self.expired_clients.push_back(reply_handle);
             return;
         }
-        self.note_response_time(slot);
+        self.check_response_lateness(slot);
         match disposition {
             Disposition::Rejected => self.counters.rejected += 1,
             _ => self.counters.failed += 1,
@@ -203,7 +207,7 @@
             deadline: self.requests[slot].deadline,
         };
         if self.replicator.is_some() {
-            // At once: the slot may serve another request before this call of the scheduler returns.
+            // Replicated immediately: the slot may hold another request before this scheduler call returns.
             let ready = self.replicate_response(&response, &[]);
             if let (Some(replicator), Some(ready)) = (&mut self.replicator, ready) {
                 replicator.ready_responses.push_back(ready);
@@ -213,11 +217,12 @@
         self.local_responses.push_back(response);
     }
 
-    /// A request's response leaves now: one that is far too late is a violation.
-    pub(crate) fn note_response_time(&mut self, slot: usize) {
+    /// Called when a request's response is sent. Counts a violation if it is sent
+    /// [`LATE_RESPONSE_THRESHOLD`] or more after the deadline.
+    pub(crate) fn check_response_lateness(&mut self, slot: usize) {
         let request = &self.requests[slot];
         let late = self.net.current_time().saturating_sub(request.deadline);
-        if late >= LATE_RESPONSE {
+        if late >= LATE_RESPONSE_THRESHOLD {
             warn!(
                 request = request.id,
                 late, "response left long after its deadline"
@@ -226,8 +231,8 @@
         }
     }
 
-    /// An attempt ended: whether that proves that it was not executed.
-    pub(crate) fn note_attempt_end(&mut self, slot: usize, attempt: usize, outcome: Outcome) {
+    /// Records whether the outcome of an attempt proves that it was not executed.
+    pub(crate) fn record_attempt_outcome(&mut self, slot: usize, attempt: usize, outcome: Outcome) {
         let not_executed = matches!(
             outcome,
             Outcome::AtCapacity | Outcome::ConnectFailed | Outcome::Discarded | Outcome::Miss
@@ -235,7 +240,8 @@
         self.requests[slot].not_executed[attempt] = Some(not_executed);
     }
 
-    /// A request's attempts as they stand: number, worker, and whether its end proves that it was not executed.
+    /// The request's attempts: number, worker, and whether the outcome proves that the attempt was not
+    /// executed.
     pub fn attempts_of(&self, slot: usize) -> Vec<(usize, usize, Option<bool>)> {
         let request = &self.requests[slot];
         (0..request.attempts)
--- a/crates/tidewall-gateway/src/worker_pool/scheduler_actions.rs
+++ b/crates/tidewall-gateway/src/worker_pool/scheduler_actions.rs
@@ -1,5 +1,5 @@
-//! Carries out what the scheduler calls for. The scheduler may not be called from within, so what is known at once (no
-//! capacity, no time left, cancelled) becomes a deferred outcome.
+//! Carries out the scheduler's actions. The scheduler must not be re-entered from an action, so an outcome
+//! that is known immediately (no capacity, no time left, cancelled) is queued as a deferred outcome.
 use super::{CallKind, WorkerPool};
 use crate::ingress::Disposition;
 use crate::timers::TimerToken;
@@ -8,7 +8,7 @@
 use tidewall_wire::{kind, Field, Frame};
 use tracing::{debug, info};
 
-/// A slot whose request had a large payload gives its memory back: 1 KiB, a usual request's payload.
+/// Payload capacity that a released slot keeps: 1 KiB, a usual request's payload.
 const MAX_KEPT_PAYLOAD: usize = 1024;
 
 impl<N: Net> SchedulerActions for WorkerPool<N> {
@@ -103,7 +103,7 @@
         for index in 0..self.workers[worker].connections.len() {
             let connection = &mut self.connections[self.workers[worker].connections[index]];
             if connection.is_idle() {
-                // The next check of the connections closes it.
+                // The next connection check closes it.
                 connection.last_used = 0;
             }
         }
@@ -184,7 +184,7 @@
     }
 
     fn limit_departures(&mut self, worker: usize, until: Time) {
-        self.workers[worker].departures_until = until;
+        self.workers[worker].send_allowed_until = until;
     }
 
     fn connected_since(&self, worker: usize) -> Time {
@@ -200,15 +200,21 @@
         match change {
             ServiceChange::Denied => {
                 self.counters.service_denials += 1;
-                info!(worker, "worker denied service: it is passed over");
+                info!(
+                    worker,
+                    "worker denied service: it is not selected until it is back"
+                );
             }
             ServiceChange::Unreachable => {
                 self.counters.service_denials += 1;
-                info!(worker, "worker unreachable: it is passed over");
+                info!(
+                    worker,
+                    "worker unreachable: it is not selected until it is back"
+                );
             }
             ServiceChange::StartPresumed => {
                 self.counters.presumed_starts += 1;
-                info!(worker, "worker is back in service: it is taken for cold");
+                info!(worker, "worker is back in service: treated as cold");
             }
         }
     }
--- a/crates/tidewall-gateway/tests/effect_policy.rs
+++ b/crates/tidewall-gateway/tests/effect_policy.rs
@@ -24,7 +24,7 @@
         expires_at: NOW + 4_000,
         client: ClientInput::default(),
         endpoint: endpoint(1, 2, EndpointState::Active),
-        departures_until: NOW + 1,
+        send_allowed_until: NOW + 1,
         retry_safety,
         unproven,
     }
@@ -54,7 +54,7 @@
 #[test_case(|f| f.client.age = MAX_INPUT_AGE + 1, Refusal::InputTooOld; "nobody has looked for long")]
 #[test_case(|f| f.endpoint.state = EndpointState::Draining, Refusal::WorkerNotActive; "the worker drains")]
 #[test_case(|f| f.endpoint.state = EndpointState::Removed, Refusal::WorkerNotActive; "the worker is gone")]
-#[test_case(|f| f.departures_until = NOW, Refusal::WorkerUnconfirmed; "the worker may have begun to drain")]
+#[test_case(|f| f.send_allowed_until = NOW, Refusal::WorkerUnconfirmed; "the worker may have begun to drain")]
 fn one_reason_is_enough(change: fn(&mut AttemptFacts), reason: Refusal) {
     let mut facts = facts(RetrySafety::Idempotent, &[]);
     assert_eq!(refusal(&facts), None);
