--- a/crates/tidewall-gateway/src/backoff.rs
+++ b/crates/tidewall-gateway/src/backoff.rs
@@ -1,18 +1,19 @@
-//! Backoff: when what failed is tried again. No I/O, no clock.
+//! Randomised retry delays. No I/O, no clock.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tidewall_net::Time;
 
-/// Random delays of three to five quarters of a mean: what strikes all gateways of a site at one moment, as the end of the
-/// discovery server does, is not to bring them back at one moment, again and again. A quarter each way keeps the mean and
-/// spreads half a second over a quarter of it, far more than a connection takes.
+/// Random delays between three and five quarters of a mean. An event that hits all gateways of a site at
+/// the same moment, such as a crash of the discovery server, must not make all of them retry at the same
+/// moment, again and again. A quarter each way keeps the mean, and spreads retries with a mean of half a
+/// second over a quarter of a second, which is far longer than a connect takes.
 pub struct Backoff {
     mean: Time,
     random: ChaCha8Rng,
 }
 
 impl Backoff {
-    /// Delays around `mean` tenths of a millisecond, drawn from this seed.
+    /// Creates delays around `mean` tenths of a millisecond, drawn with this seed.
     pub fn new(seed: u64, mean: Time) -> Backoff {
         Backoff {
             mean,
--- a/crates/tidewall-gateway/src/client_requests.rs
+++ b/crates/tidewall-gateway/src/client_requests.rs
@@ -1,4 +1,4 @@
-//! The requests of an ingress's clients: which connection each came on, and which are still open there.
+//! The open requests of an ingress's clients, with the connection that each arrived on.
 use crate::ingress::{ReplyHandle, NO_REQUEST_SLOT};
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -6,18 +6,18 @@
 
 /// A client's open request.
 pub struct ClientRequest {
-    /// The connection that it came on.
+    /// The connection on which the request arrived.
     pub conn: Conn,
-    /// The client's id for it, unique among the open ones of its connection.
+    /// The client's id for the request, unique among the open requests of its connection.
     pub id: u64,
-    /// Its id in logs and at workers; the same where the protocol has no other.
+    /// The request's id in logs and for workers; equal to `id` if the protocol has no other.
     pub request_id: u64,
-    /// The gateway's slot, once it is admitted; `NO_REQUEST_SLOT` before.
+    /// The gateway's slot once the request is admitted; `NO_REQUEST_SLOT` before.
     pub slot: usize,
-    /// Neighbours in the list of the connection's requests.
+    /// Neighbours in the linked list of the connection's requests.
     previous: Option<u32>,
     next: Option<u32>,
-    /// Tells the successive users of a key apart.
+    /// Distinguishes successive requests with the same key.
     generation: u32,
 }
 
@@ -28,19 +28,20 @@
     open: u32,
 }
 
-/// The open requests of an ingress's clients. Those of one connection are linked, so that its end needs no search.
+/// The open requests of an ingress's clients. The requests of one connection form a linked list, so that
+/// the end of a connection needs no search.
 pub struct ClientRequests {
     ingress: usize,
     requests: Slab<ClientRequest>,
     generation: u32,
-    /// By connection index. A connection's requests are removed before its index is used again.
+    /// By connection index. A connection's requests are removed before its index is reused.
     connections: Vec<ConnectionRequests>,
-    /// Looked up, never iterated: its order is not defined.
+    /// Used for look-ups only and never iterated, because its order is undefined.
     by_id: FxHashMap<(Conn, u64), u32>,
 }
 
 impl ClientRequests {
-    /// No requests, of the ingress with this index.
+    /// Creates an empty table for the ingress with this index.
     pub fn new(ingress: usize) -> ClientRequests {
         ClientRequests {
             ingress,
@@ -59,7 +60,7 @@
         &mut self.connections[conn.index()]
     }
 
-    /// Adds a request and gives its key. The connection has no other open one with this id.
+    /// Adds a request and returns its key. The connection must have no other open request with this id.
     pub fn add(&mut self, conn: Conn, id: u64, request_id: u64) -> u32 {
         let next = self.connection(conn).first;
         self.generation = self.generation.wrapping_add(1);
@@ -83,12 +84,13 @@
         key
     }
 
-    /// The gateway has admitted the request to this slot.
+    /// Records the slot to which the gateway admitted the request.
     pub fn set_slot(&mut self, key: u32, slot: usize) {
         self.requests[key as usize].slot = slot;
     }
 
-    /// The reply handle that names a request to the gateway: its key below, its generation above.
+    /// Returns the reply handle that identifies a request to the gateway: its key in the lower 32 bits, its
+    /// generation in the upper 32.
     pub fn handle(&self, key: u32) -> ReplyHandle {
         let generation = self.requests[key as usize].generation;
         ReplyHandle {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The key that a reply handle names; none where the request is no longer open.
+    /// Returns the key that a reply handle refers to; none if the request is no longer open.
     pub fn key(&self, handle: ReplyHandle) -> Option<u32> {
         let (key, generation) = (handle.key as u32, (handle.key >> 32) as u32);
         self.requests
@@ -106,24 +108,24 @@
             .map(|_| key)
     }
 
-    /// The request that a reply handle names; none where it is no longer open.
+    /// Returns the request that a reply handle refers to; none if it is no longer open.
     pub fn get(&self, handle: ReplyHandle) -> Option<&ClientRequest> {
         self.key(handle).map(|key| &self.requests[key as usize])
     }
 
-    /// The key of a connection's open request with this id.
+    /// Returns the key of a connection's open request with this id.
     pub fn find(&self, conn: Conn, id: u64) -> Option<u32> {
         self.by_id.get(&(conn, id)).copied()
     }
 
-    /// How many requests of a connection are open.
+    /// Returns the number of open requests of a connection.
     pub fn open(&self, conn: Conn) -> u32 {
         self.connections
             .get(conn.index())
             .map_or(0, |connection| connection.open)
     }
 
-    /// Removes a request, which is no longer open.
+    /// Removes a request from the table and returns it.
     pub fn remove(&mut self, key: u32) -> ClientRequest {
         let request = self.requests.remove(key as usize);
         self.by_id.remove(&(request.conn, request.id));
@@ -138,7 +140,7 @@
         request
     }
 
-    /// The key of the latest of a connection's open requests; none where it has none.
+    /// Returns the key of the latest open request of a connection; none if it has none.
     pub fn latest(&self, conn: Conn) -> Option<u32> {
         self.connections.get(conn.index())?.first
     }
--- a/crates/tidewall-gateway/src/config.rs
+++ b/crates/tidewall-gateway/src/config.rs
@@ -1,5 +1,5 @@
-//! Translates the settings file into what a gateway is started with. The settings were validated when they were read, so
-//! fields have the form that they need.
+//! Converts the settings file into a gateway's configuration. The settings were validated when they were
+//! read, so that fields have the expected format.
 use crate::error::{KeyFileError, KeyFileProblem};
 use crate::failover::FailoverConfig;
 use crate::worker_pool::GatewayLimits;
@@ -10,10 +10,11 @@
 use tidewall_net::Time;
 use tidewall_vrrp::packet::Keys;
 
-/// The fewest hexadecimal digits of an authentication key: 128 bits, as shorter ones could be tried out.
+/// Minimum number of hexadecimal digits of an authentication key: 128 bits, because shorter keys could be
+/// found by brute force.
 const MIN_KEY_DIGITS: usize = 32;
 
-/// The limits, from the sections `limits` and `loading`.
+/// Reads the limits from the sections `limits` and `loading`.
 pub fn limits(settings: &Section) -> GatewayLimits {
     let (limits, loading) = (settings.section("limits"), settings.section("loading"));
     GatewayLimits {
@@ -21,7 +22,7 @@
         connect_timeout: limits.duration("connect_time_out_ms"),
         streams_per_connection: limits.integer("streams") as usize,
         connections_per_worker: limits.integer("connections") as usize,
-        // The settings bound them for each worker.
+        // The settings limit connections per worker only.
         max_worker_connections: usize::MAX,
         spread_threshold: usize::MAX,
         keep_alive: limits.duration("keep_alive_ms"),
@@ -31,15 +32,15 @@
     }
 }
 
-/// A field that holds an address and port.
-fn address(section: &Section, field: &str) -> SocketAddr {
+/// Reads a field that holds an address and port.
+fn socket_address(section: &Section, field: &str) -> SocketAddr {
     section
         .text(field)
         .parse()
         .expect("validated settings hold an address and port here")
 }
 
-/// The configuration of the gateway with this index, without a failover pair.
+/// Returns the configuration of the gateway with this index, without a failover pair.
 pub fn gateway_config(settings: &Section, index: usize, seed: u64) -> GatewayConfig {
     let gateways = settings.sections("gateway");
     let discovery = settings.section("roster");
@@ -48,7 +49,7 @@
         index,
         seed,
         settings: scheduler_settings(settings, index),
-        discovery: address(&discovery, "address"),
+        discovery: socket_address(&discovery, "address"),
         discovery_retry: discovery.duration("retry_ms"),
         peers: gateways
             .iter()
@@ -60,7 +61,7 @@
     }
 }
 
-/// Whether requests of this class may be executed again.
+/// Returns whether requests of this class may be executed again.
 fn retry_safety(class: &Section) -> RetrySafety {
     match class.enum_value("redelivery").as_str() {
         "REDELIVERABLE" => RetrySafety::Idempotent,
@@ -72,7 +73,7 @@
     }
 }
 
-/// How long a response to a request of this class is remembered, in tenths of a millisecond.
+/// Returns how long a response to a request of this class is remembered, in tenths of a millisecond.
 fn retention(class: &Section) -> Time {
     match class.enum_value("redelivery").as_str() {
         "KEYED" => class
@@ -82,7 +83,7 @@
     }
 }
 
-/// This member's part of the failover pair.
+/// Returns this member's configuration for the failover pair.
 pub fn failover_config(
     settings: &Section,
     incarnation: u64,
@@ -99,11 +100,11 @@
         priority: own.integer("priority") as u8,
         interval: pair.integer("interval_cs") as u16,
         preempt: pair.flag("preempt"),
-        vrrp_address: address(&own, "vrrp_address"),
-        peer_vrrp_address: address(&peer, "vrrp_address"),
-        link_address: address(&own, "link_address"),
-        peer_link_address: address(&peer, "link_address"),
-        shared_address: address(&settings.sections("gateway")[0], "address"),
+        vrrp_address: socket_address(&own, "vrrp_address"),
+        peer_vrrp_address: socket_address(&peer, "vrrp_address"),
+        link_address: socket_address(&own, "link_address"),
+        peer_link_address: socket_address(&peer, "link_address"),
+        shared_address: socket_address(&settings.sections("gateway")[0], "address"),
         keys,
         voters: pair.strings("voter"),
         retry_safety: classes.iter().map(retry_safety).collect(),
@@ -119,10 +120,11 @@
     }
 }
 
-/// Authentication keys from a file's text: a line each, a number and hexadecimal digits; lines that begin with # are skipped.
+/// Parses a file of authentication keys. Each line holds a number and hexadecimal digits; empty lines and
+/// lines that begin with # are skipped.
 ///
 /// # Errors
-/// Where a line is no key, a number is used twice or there is no key; the error names file and line.
+/// If a line is not a key, a number is used twice or there is no key; the error names file and line.
 pub fn parse_keys(file: &str, text: &str) -> Result<Keys, KeyFileError> {
     let mut keys = Keys::default();
     for (index, line) in text.lines().enumerate() {
@@ -147,18 +149,22 @@
     Ok(keys)
 }
 
-/// One line of a file of keys; `keys` are those of the lines before.
+/// Parses one line of a key file; `keys` are those of the lines before.
 fn parse_key(line: &str, keys: &Keys) -> Result<(u8, Vec<u8>), KeyFileProblem> {
-    let (id, digits) = line.split_once(' ').ok_or(KeyFileProblem::NoPair)?;
-    let id = id.parse::<u8>().map_err(|_| KeyFileProblem::Number)?;
+    let (id, digits) = line
+        .split_once(' ')
+        .ok_or(KeyFileProblem::NotNumberAndKey)?;
+    let id = id
+        .parse::<u8>()
+        .map_err(|_| KeyFileProblem::NumberOutOfRange)?;
     let digits = digits.trim();
     if digits.len() < MIN_KEY_DIGITS || digits.len() % 2 == 1 || !digits.is_ascii() {
-        return Err(KeyFileProblem::Length);
+        return Err(KeyFileProblem::KeyLength);
     }
     let octet = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16);
     let key: Result<Vec<u8>, _> = (0..digits.len()).step_by(2).map(octet).collect();
     if keys.0.iter().any(|known| known.0 == id) {
-        return Err(KeyFileProblem::Duplicate);
+        return Err(KeyFileProblem::DuplicateNumber);
     }
-    Ok((id, key.map_err(|_| KeyFileProblem::Digits)?))
+    Ok((id, key.map_err(|_| KeyFileProblem::InvalidDigit)?))
 }
--- a/crates/tidewall-gateway/src/connection_owners.rs
+++ b/crates/tidewall-gateway/src/connection_owners.rs
@@ -1,11 +1,11 @@
-//! Which part of the gateway a connection belongs to.
+//! The mapping from connections to the parts of the gateway that own them.
 use crate::Gateway;
 use tidewall_net::{Conn, Net};
 
-/// Whom a connection belongs to.
+/// The owner of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Owner {
-    /// Nobody: it is not known, or nothing more is heard of it.
+    /// No owner: the connection is unknown, or its events are ignored.
     Nobody,
     /// The ingress with this index.
     Ingress(usize),
@@ -15,11 +15,11 @@
     Discovery,
     /// The connection to the other member of the failover pair.
     Peer,
-    /// A connection that may become that one.
+    /// An accepted or opened connection that may become the `Peer` connection.
     Handshake,
 }
 
-/// The entry of a connection index that was never used: no connection has generation 0 and an owner.
+/// The entry of a connection index that was never used. No owned connection has generation 0.
 const UNOWNED: (u32, Owner) = (0, Owner::Nobody);
 
 impl<N: Net> Gateway<N> {
@@ -30,7 +30,7 @@
         self.owners[conn.index()] = (conn.generation(), owner);
     }
 
-    /// The connection's owner. The index alone would name its next user, too.
+    /// Returns the connection's owner. The generation is compared because connection indexes are reused.
     pub(crate) fn owner(&self, conn: Conn) -> Owner {
         match self.owners.get(conn.index()) {
             Some((generation, owner)) if *generation == conn.generation() => *owner,
--- a/crates/tidewall-gateway/src/durable_file.rs
+++ b/crates/tidewall-gateway/src/durable_file.rs
@@ -1,26 +1,29 @@
-//! Files that are replaced as a whole: after a kill or a power cut there is the old content or the new one, never a mixture.
+//! Atomic replacement of files: after a kill or a power cut the file has the old content or the new
+//! content, never a mixture.
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What stands beside a file, under its name with something appended.
-pub(crate) fn sibling(path: &Path, suffix: &str) -> PathBuf {
-    // The complete name and more, or two files that differ in their extension would share it.
+/// Returns the path of a file in the same folder whose name is that of `path` with `suffix` appended.
+pub(crate) fn path_with_suffix(path: &Path, suffix: &str) -> PathBuf {
+    // Appends to the complete name: replacing the extension would give two files that differ only in their
+    // extension the same path.
     let mut name = path.as_os_str().to_owned();
     name.push(suffix);
     PathBuf::from(name)
 }
 
-/// Replaces a file's content: written beside it, synchronised, renamed, and the folder synchronised.
+/// Replaces a file's content: writes a temporary file beside it, syncs it, renames it, and syncs the
+/// folder.
 ///
 /// # Errors
-/// Any of these steps fails. Until the rename the old content stands; after it the new one does, and only whether it
-/// outlives a power cut is unknown.
-pub(crate) fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let temporary = sibling(path, ".new");
+/// If any of these steps fails. Before the rename the old content is in place. After it the new content is,
+/// but it may not survive a power cut.
+pub(crate) fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let temporary = path_with_suffix(path, ".new");
     let mut file = fs::File::create(&temporary)?;
     file.write_all(bytes)?;
-    // Without it a power cut may leave the new name with nothing behind it.
+    // Without this sync a power cut may leave the renamed file empty.
     file.sync_all()?;
     drop(file);
     fs::rename(&temporary, path)?;
--- a/crates/tidewall-gateway/src/endpoint_cache.rs
+++ b/crates/tidewall-gateway/src/endpoint_cache.rs
@@ -1,6 +1,6 @@
-//! The endpoint cache: the last endpoint list on disk, so that a gateway that starts while the discovery server cannot be
-//! reached has workers.
-use crate::durable_file::replace;
+//! The endpoint cache stores the last endpoint list on disk, so that a gateway that starts while the
+//! discovery server is unreachable knows workers.
+use crate::durable_file::replace_file;
 use crate::endpoints::{self, EndpointRecord};
 use crate::timers::TimerToken;
 use crate::Gateway;
@@ -13,25 +13,26 @@
 use tidewall_net::{Net, Time};
 use tracing::{info, warn};
 
-/// Where the last endpoint list is stored.
+/// Storage for the last endpoint list.
 pub trait EndpointCache {
-    /// What was written last, and how long ago in tenths of a millisecond; none where nothing was.
+    /// Returns what was written last, and how long ago in tenths of a millisecond; none if nothing was
+    /// written.
     ///
     /// # Errors
-    /// Where it cannot be read.
+    /// If the storage cannot be read.
     fn read(&mut self) -> io::Result<Option<(Vec<u8>, Time)>>;
-    /// Replaces what was written last, completely or not at all, whenever the process is killed or the power is cut.
+    /// Replaces the stored list atomically, even if the process is killed or the power is cut.
     ///
     /// # Errors
-    /// Where it cannot be written; the write is tried again later.
+    /// If the list cannot be written; the write is tried again later.
     fn write(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Whether anything is stored; else lists need not be encoded.
+    /// Whether lists are stored at all; if not, they need not be encoded.
     fn is_stored(&self) -> bool {
         true
     }
 }
 
-/// Stores nothing.
+/// A cache that stores nothing.
 pub struct NoEndpointCache;
 
 impl EndpointCache for NoEndpointCache {
@@ -48,7 +49,8 @@
     }
 }
 
-/// A file. It is written beside itself, synchronised and renamed: a stop in the middle leaves the one before.
+/// A cache in a file. A new list is written to a temporary file, synced and renamed: if this is
+/// interrupted, the previous list remains.
 pub struct FileEndpointCache(
     /// The file's path.
     pub PathBuf,
@@ -59,7 +61,7 @@
         match fs::read(&self.0) {
             Ok(bytes) => {
                 let written_at = fs::metadata(&self.0)?.modified()?;
-                // A clock that was set back says nothing: then no time has passed.
+                // If the clock was set back, the elapsed time is unknown and counts as 0.
                 let elapsed = SystemTime::now()
                     .duration_since(written_at)
                     .unwrap_or(Duration::ZERO);
@@ -71,36 +73,39 @@
     }
 
     fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        replace(&self.0, bytes)
+        replace_file(&self.0, bytes)
     }
 }
 
-/// A cache that writes on a thread of its own: a disk may take seconds, and requests may not wait for it.
+/// A cache that writes on its own thread: a disk may take seconds, and requests must not wait for it.
 ///
-/// Until the first write the inner cache is here, for reading; then it moves to the thread, which alone uses it from then on.
-/// The thread takes lists from a bounded channel, writes the newest, and tries again what could not be written until something
-/// newer comes. Dropping this closes the channel; the thread writes what it was handed, where the disk takes it, and ends. The
-/// drop waits for that, though not for ever, and the thread is detached then.
+/// Until the first write this struct holds the inner cache, for reading; then the cache moves to the
+/// thread, which alone uses it. The thread receives lists from a bounded channel and writes the newest; a
+/// failed write is retried until a newer list arrives. Dropping this struct closes the channel; the thread
+/// then writes the last list that it received, if the disk accepts it, and ends. The drop waits for the
+/// thread for a limited time, after which the thread is detached.
 pub struct BackgroundEndpointCache {
-    /// The inner cache, until the thread has it.
+    /// The inner cache, until it moves to the thread.
     inner: Option<Box<dyn EndpointCache + Send>>,
-    /// Lists for the thread.
+    /// The channel of lists to the thread.
     writes: Option<SyncSender<Vec<u8>>>,
-    /// Closed by the thread when it ends.
+    /// Disconnected when the thread ends.
     ended: Option<Receiver<()>>,
 }
 
-/// Lists that wait for a disk that takes none, at most; further ones come again with the next change.
+/// Maximum number of lists that wait for a disk that accepts none. When the channel is full a write fails,
+/// and the caller retries later.
 const MAX_WAITING_WRITES: usize = 16;
 
-/// A write that failed is tried again after this: space comes back by somebody's hand.
+/// Delay before a failed write is retried; free space usually returns only by an operator's action.
 const WRITE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// At the end the disk is waited for so long: well above what a healthy one takes, and nobody waits for a response any more.
+/// How long the drop waits for the last write: well above the time that a healthy disk takes. No request
+/// waits for a response at that time.
 const MAX_FINAL_WRITE_WAIT: Duration = Duration::from_secs(5);
 
 impl BackgroundEndpointCache {
-    /// Writes to `inner` in the background.
+    /// Creates a cache that writes to `inner` in the background.
     pub fn new(inner: impl EndpointCache + Send + 'static) -> BackgroundEndpointCache {
         BackgroundEndpointCache {
             inner: Some(Box::new(inner)),
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Starts the thread, unless it runs already.
+    /// Starts the thread if it does not run yet.
     fn start(&mut self) -> io::Result<()> {
         let Some(inner) = self.inner.take() else {
             return Ok(());
@@ -117,7 +122,7 @@
         let (writes, received) = sync_channel::<Vec<u8>>(MAX_WAITING_WRITES);
         let (end, ended) = sync_channel::<()>(0);
         thread::Builder::new().spawn(move || {
-            // Dropped with the thread, which tells that it has ended.
+            // Dropped when the thread ends, which disconnects `ended`.
             let _end = end;
             write_received(inner, &received);
         })?;
@@ -126,7 +131,7 @@
     }
 }
 
-/// The thread of a background cache: writes what it receives until the channel is closed.
+/// The thread of a background cache: writes the lists that it receives until the channel is closed.
 fn write_received(mut cache: Box<dyn EndpointCache + Send>, received: &Receiver<Vec<u8>>) {
     while let Ok(mut bytes) = received.recv() {
         loop {
@@ -159,7 +164,7 @@
 }
 
 impl Drop for BackgroundEndpointCache {
-    /// What was handed over is written, where the disk takes it.
+    /// Waits for the thread to write the last list, up to `MAX_FINAL_WRITE_WAIT`.
     fn drop(&mut self) {
         self.writes = None;
         if let Some(ended) = self.ended.take() {
@@ -168,11 +173,11 @@
     }
 }
 
-/// A changed list is written 0.2 s later, so that many changes at once are one write.
+/// Delay before a changed list is written: 0.2 s, so that many changes in quick succession are one write.
 const CACHE_WRITE_DELAY: Time = 2_000;
 
 impl<N: Net> Gateway<N> {
-    /// The list has changed: it is written soon.
+    /// Schedules a write of the changed list.
     pub(crate) fn schedule_cache_write(&mut self) {
         if !std::mem::replace(&mut self.cache_outdated, true) {
             let at = self.context.net().now() + CACHE_WRITE_DELAY;
@@ -182,13 +187,13 @@
         }
     }
 
-    /// Writes the list, if it has changed since it was written last.
+    /// Writes the list if it has changed since the last write.
     pub(crate) fn write_endpoint_cache(&mut self) {
         if std::mem::take(&mut self.cache_outdated) && self.endpoint_cache.is_stored() {
             let records = self.context.scheduler.host.endpoint_records();
             if let Err(error) = self.endpoint_cache.write(&endpoints::encode(&records)) {
                 warn!(%error, "endpoint cache write failed");
-                // A disk that was full may have space by then.
+                // Retried later, because a full disk may have space again.
                 self.cache_outdated = true;
                 let retry_at = self.context.net().now() + 10 * CACHE_WRITE_DELAY;
                 self.context
@@ -198,7 +203,8 @@
         }
     }
 
-    /// At start: takes over the cached list. One that cannot be read or decoded is logged and counts as empty.
+    /// Applies the cached list at start. A list that cannot be read or decoded is logged and counts as
+    /// empty.
     pub(crate) fn load_endpoint_cache(&mut self) {
         let records = match self.endpoint_cache.read() {
             Ok(None) => Vec::new(),
--- a/crates/tidewall-gateway/src/endpoints.rs
+++ b/crates/tidewall-gateway/src/endpoints.rs
@@ -1,5 +1,6 @@
-//! Endpoint records as the discovery server sends them, and the stored form of an endpoint list: magic bytes, a checksum, and
-//! a native endpoint-list frame. A file that is torn or of another version is not used.
+//! Endpoint records as the discovery server sends them, and the stored form of an endpoint list: magic
+//! bytes, a checksum, and a native endpoint-list frame. A file that is damaged or of another version is not
+//! used.
 pub use crate::endpoint_cache::{
     BackgroundEndpointCache, EndpointCache, FileEndpointCache, NoEndpointCache,
 };
@@ -9,53 +10,53 @@
 use tidewall::interner;
 use tidewall_wire::{frame, kind, Entries, Field, Fields, Frame, WireError};
 
-/// Why a stored endpoint list is not used.
+/// The reason why a stored endpoint list is not used.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// It does not begin with this version's magic bytes.
-    #[error("field magic: no list of this version")]
+    /// The file does not begin with this version's magic bytes.
+    #[error("field magic: not an endpoint list of this version")]
     UnknownVersion,
-    /// It ends within its checksum.
-    #[error("field sum: cut short")]
+    /// The file ends within its checksum.
+    #[error("field sum: truncated")]
     Truncated,
-    /// Its checksum does not match its body.
-    #[error("field sum: the list is torn")]
+    /// The checksum does not match the body.
+    #[error("field sum: checksum mismatch")]
     ChecksumMismatch,
-    /// Its body is malformed.
+    /// The body is malformed.
     #[error(transparent)]
     Body(#[from] WireError),
 }
 
-/// One worker of the endpoint list.
+/// One worker in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its name, unique in the list.
+    /// The worker's name, unique in the list.
     pub name: String,
-    /// Where it accepts connections.
+    /// The address on which the worker accepts connections.
     pub address: SocketAddr,
-    /// Its zone; empty where it has none.
+    /// The worker's zone; empty if it has none.
     pub zone: String,
-    /// Its kind of machine; empty where it has none.
+    /// The worker's kind of machine; empty if it has none.
     pub machine: String,
-    /// Its cell: workers of a cell fail together.
+    /// The worker's cell: workers of one cell fail together.
     pub cell: u32,
     /// Active, draining or removed.
     pub state: EndpointState,
-    /// Its capacity, relative to the other workers'.
+    /// The worker's capacity, relative to that of other workers.
     pub rating: f64,
-    /// Identifies its starts; a higher one is a later start.
+    /// Identifies a start of the worker; a later start has a higher number.
     pub incarnation: u64,
-    /// How long ago it started, in tenths of a millisecond; 0 where that is long ago or not known.
+    /// How long ago the worker started, in tenths of a millisecond; 0 if that is long ago or unknown.
     pub age: Time,
 }
 
-/// The highest age that a record may give, so that sums of ages and times do not overflow.
+/// The highest age that a record may contain, so that sums of ages and times do not overflow.
 const MAX_AGE: Time = Time::MAX >> 8;
 
 /// Reads a record's fields.
 ///
 /// # Errors
-/// Where a field is missing or invalid; the error names it.
+/// If a field is missing or invalid; the error names it.
 pub fn read_record(fields: &Fields) -> Result<EndpointRecord, WireError> {
     let address = fields.text(Field::Place)?;
     Ok(EndpointRecord {
@@ -73,7 +74,7 @@
     })
 }
 
-/// The state that a word of the wire names.
+/// Parses a state's name on the wire.
 fn state_from_wire(word: &str) -> Result<EndpointState, WireError> {
     match word {
         "on" => Ok(EndpointState::Active),
@@ -105,10 +106,10 @@
         .whole(Field::Age, record.age)
 }
 
-/// The first bytes of a stored list: its name and version.
+/// The first bytes of a stored list: format name and version.
 const MAGIC: &[u8; 8] = b"tdwlist1";
 
-/// The stored form of a list. The time of writing is not in it; the cache knows it.
+/// Encodes a list for storage. The time of writing is not included; the cache knows it.
 pub fn encode(records: &[EndpointRecord]) -> Vec<u8> {
     let mut entries = Entries::default();
     for record in records {
@@ -126,15 +127,17 @@
 }
 
 fn checksum(bytes: &[u8]) -> u64 {
-    // The hash of names serves: it guards against torn files, not against forgers.
+    // The non-cryptographic hash that is used for names suffices: it detects damaged files, not forged
+    // ones.
     let text: String = bytes.iter().map(|byte| char::from(*byte)).collect();
     interner::fnv1a(&text)
 }
 
-/// The records of a stored list that was written `elapsed` tenths of a millisecond ago: workers have aged since.
+/// Decodes a stored list that was written `elapsed` tenths of a millisecond ago; the workers' ages are
+/// increased by that time.
 ///
 /// # Errors
-/// Where the list is not one of this version, torn or malformed.
+/// If the list is of another version, damaged or malformed.
 pub fn decode(bytes: &[u8], elapsed: Time) -> Result<Vec<EndpointRecord>, EndpointListError> {
     let rest = bytes
         .strip_prefix(MAGIC)
@@ -149,7 +152,7 @@
     let mut records = Vec::new();
     Fields::read(body)?.entries(|entry| {
         let mut record = read_record(entry)?;
-        // An age that is not known stays so.
+        // An unknown age stays unknown.
         record.age += if record.age > 0 { elapsed } else { 0 };
         records.push(record);
         Ok(())
--- a/crates/tidewall-gateway/src/error.rs
+++ b/crates/tidewall-gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! The gateway's errors. Their texts go to peers, to the log and, at start, to the operator.
+//! The gateway's errors. Their messages go to peers, to the log and, at start, to the operator.
 use std::error::Error as StdError;
 use std::io;
 use std::net::SocketAddr;
@@ -7,41 +7,41 @@
 use tidewall_vrrp::ParameterError;
 use tidewall_wire::WireError;
 
-/// Why a message of a worker, of the discovery server or of another gateway is refused. Its connection ends with this
-/// text.
+/// The reason why a message from a worker, the discovery server or another gateway is rejected. Its text is
+/// sent before the connection is closed.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// A native frame is malformed or means nothing here.
+    /// A native frame is malformed or unexpected.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// A message of a protocol that another package speaks.
+    /// An error of a protocol that another package implements.
     #[error("{0}")]
     Other(Box<dyn StdError + Send + Sync>),
 }
 
 impl ProtocolError {
-    /// An error of another package's protocol.
+    /// Wraps an error of a protocol that another package implements.
     pub fn other(error: impl Into<Box<dyn StdError + Send + Sync>>) -> ProtocolError {
         ProtocolError::Other(error.into())
     }
 }
 
-/// Why a request is not admitted.
+/// The reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.wire_text())]
 pub enum AdmissionError {
-    /// It may have lain unread for so long that too little of its client's time is certain.
+    /// The request may have been unread for so long that too little of its client's time is certain.
     Late,
     /// The gateway is draining, or the other member of its failover pair serves.
     Draining,
     /// The deduplication table has no room for another idempotency key.
     DeduplicationTableFull,
-    /// As many requests are in flight as the settings allow.
+    /// The limit of requests in flight is reached.
     TooManyRequests,
 }
 
 impl AdmissionError {
-    /// The reason as clients get it.
+    /// The reason as it is sent to clients.
     pub fn wire_text(self) -> &'static str {
         match self {
             AdmissionError::Late => "late",
@@ -52,34 +52,34 @@
     }
 }
 
-/// Why a gateway does not start: one line for the operator.
+/// The reason why a gateway does not start: one line for the operator.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The address for datagrams cannot be bound.
+    /// Binding the address for datagrams failed.
     #[error("{address}: datagrams: {source}")]
     BindDatagrams {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The address for connections cannot be listened on.
+    /// Listening on the address for connections failed.
     #[error("{address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The scheduler's settings are refused; the text names the setting.
+    /// The scheduler rejected the settings; the text names the setting.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The VRRP parameters are refused; the text names the parameter.
+    /// The VRRP parameters are invalid; the text names the parameter.
     #[error("{0}")]
     Vrrp(ParameterError),
 }
 
-/// Why a file of authentication keys is refused: file, line and column stand first.
+/// The reason why a file of authentication keys is rejected; the message starts with file, line and column.
 #[derive(Debug, Error)]
 #[error("{file}:{line}:1: {problem}")]
 pub struct KeyFileError {
@@ -87,48 +87,48 @@
     pub file: String,
     /// The line, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// The problem in this line.
     pub problem: KeyFileProblem,
 }
 
-/// What is wrong in a file of authentication keys.
+/// A problem in a file of authentication keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyFileProblem {
-    /// A line is no pair of number and key.
+    /// A line is not a number and a key.
     #[error("a number and a key are needed")]
-    NoPair,
-    /// The key's number is no octet.
+    NotNumberAndKey,
+    /// The key's number is not within 0 to 255.
     #[error("the number is not within 0 to 255")]
-    Number,
-    /// The key is shorter than 128 bits or has half an octet.
+    NumberOutOfRange,
+    /// The key is shorter than 128 bits or has an odd number of digits.
     #[error("a key has an even number of at least 32 hexadecimal digits")]
-    Length,
-    /// Two keys have one number.
+    KeyLength,
+    /// Two keys have the same number.
     #[error("the number stands twice")]
-    Duplicate,
-    /// A key holds something else than hexadecimal digits.
+    DuplicateNumber,
+    /// A key contains a character that is not a hexadecimal digit.
     #[error("a key has hexadecimal digits only")]
-    Digits,
-    /// The file holds no key.
+    InvalidDigit,
+    /// The file contains no key.
     #[error("there is no key")]
     Empty,
 }
 
-/// For callers that only pass the line on.
+/// For callers that only pass on the message.
 impl From<StartError> for String {
     fn from(error: StartError) -> String {
         error.to_string()
     }
 }
 
-/// For callers that only pass the line on.
+/// For callers that only pass on the message.
 impl From<KeyFileError> for String {
     fn from(error: KeyFileError) -> String {
         error.to_string()
     }
 }
 
-/// For packages whose own protocol code passes texts on.
+/// For packages whose protocol code passes on messages as text.
 impl From<ProtocolError> for String {
     fn from(error: ProtocolError) -> String {
         error.to_string()
--- a/crates/tidewall-gateway/src/incarnation_store.rs
+++ b/crates/tidewall-gateway/src/incarnation_store.rs
@@ -1,9 +1,11 @@
-//! The number of a process's incarnation, stored so that no later incarnation takes one that is as low: ballots and the other
-//! members' memory tell incarnations apart by it, and a wall clock may be set back between two starts.
+//! Issues and stores the incarnation numbers of a process, so that each incarnation gets a higher number
+//! than all before it. Ballots and the other members' state distinguish incarnations by this number, and
+//! the wall clock alone would not do, because it may be set back between two starts.
 //!
-//! The file holds one line of ASCII text: `tidewall-incarnation 1 NUMBER CHECKSUM`, the format's version, the number in decimal
-//! digits, and the xxh3 (64 bits) of the text before the last space, in 16 hexadecimal digits.
-use crate::durable_file::{replace, sibling};
+//! The file contains one line of ASCII text: `tidewall-incarnation 1 NUMBER CHECKSUM`, that is the format's
+//! name and version, the number in decimal digits, and the xxh3 hash (64 bits) of the text before the last
+//! space, in 16 hexadecimal digits.
+use crate::durable_file::{path_with_suffix, replace_file};
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,46 +17,46 @@
 /// The format's name and version.
 const HEADER: &str = "tidewall-incarnation 1";
 
-/// Why a store cannot be used.
+/// The reason why a store cannot be used.
 #[derive(Debug, Error)]
 pub enum IncarnationStoreError {
-    /// Another process uses it: two incarnations at a time would overwrite each other's number.
+    /// Another process uses the store: two concurrent incarnations would overwrite each other's number.
     #[error("{}: another process uses it", path.display())]
     InUse {
-        /// The file of the number.
+        /// The file that stores the number.
         path: PathBuf,
     },
-    /// The file system refuses.
+    /// A file system operation failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file that it concerns.
+        /// The file concerned.
         path: PathBuf,
-        /// What it says.
+        /// The file system's error.
         source: io::Error,
     },
 }
 
-/// Numbers incarnations. One process at a time has a store.
+/// Issues incarnation numbers. Only one process at a time can open a store.
 #[derive(Debug)]
 pub struct IncarnationStore {
     path: PathBuf,
-    /// Locked as long as this lives.
+    /// Holds the lock until it is dropped.
     _lock: File,
 }
 
 impl IncarnationStore {
-    /// Opens the store of a file, which need not exist yet. A lock file stands beside it.
+    /// Opens the store in a file, which need not exist yet. The lock file is created in the same folder.
     ///
     /// # Errors
-    /// Another process uses it, or the lock file cannot be opened.
+    /// If another process uses the store, or the lock file cannot be opened.
     pub fn open(path: &Path) -> Result<IncarnationStore, IncarnationStoreError> {
-        let lock_path = sibling(path, ".lock");
+        let lock_path = path_with_suffix(path, ".lock");
         let io_error = |source| IncarnationStoreError::Io {
             path: lock_path.clone(),
             source,
         };
-        let options = || File::options().create(true).append(true).open(&lock_path);
-        let lock = options().map_err(io_error)?;
+        let open_lock_file = || File::options().create(true).append(true).open(&lock_path);
+        let lock = open_lock_file().map_err(io_error)?;
         match lock.try_lock() {
             Ok(()) => Ok(IncarnationStore {
                 path: path.to_path_buf(),
@@ -67,21 +69,23 @@
         }
     }
 
-    /// The number of the next incarnation: the wall clock in milliseconds, but above every number stored before and above
-    /// `last`. It is stored when this returns.
+    /// Returns the number of the next incarnation: the wall clock in milliseconds, but higher than every
+    /// number stored before and than `last`. The number is stored when this returns.
     ///
-    /// A file that is torn, of another version or not a store's is set aside beside itself, with a line in the log, and
-    /// counts as none.
+    /// A file that is damaged, of another version or not a store's is renamed to a `.rejected` file, which
+    /// is logged, and counts as empty.
     ///
     /// # Errors
-    /// The file cannot be read or replaced. No number is given then: one that is not stored might be given again.
+    /// If the file cannot be read or replaced. No number is returned then, because a number that is not
+    /// stored might be issued again.
     pub fn next(&mut self, last: u64, clock: u64) -> Result<u64, IncarnationStoreError> {
         let number = next_incarnation(last.max(self.stored()?), clock);
-        replace(&self.path, encode(number).as_bytes()).map_err(|source| self.io_error(source))?;
+        replace_file(&self.path, encode(number).as_bytes())
+            .map_err(|source| self.io_error(source))?;
         Ok(number)
     }
 
-    /// The number stored last; 0 where there is none.
+    /// Returns the number stored last; 0 if there is none.
     fn stored(&self) -> Result<u64, IncarnationStoreError> {
         let bytes = match fs::read(&self.path) {
             Ok(bytes) => bytes,
@@ -91,10 +95,10 @@
         match decode(&bytes) {
             Some(number) => Ok(number),
             None => {
-                let aside = sibling(&self.path, ".rejected");
-                fs::rename(&self.path, &aside).map_err(|source| self.io_error(source))?;
-                let (path, aside) = (self.path.display(), aside.display());
-                warn!(%path, %aside, "stored incarnation is not readable; set aside");
+                let rejected_path = path_with_suffix(&self.path, ".rejected");
+                fs::rename(&self.path, &rejected_path).map_err(|source| self.io_error(source))?;
+                let (path, rejected_path) = (self.path.display(), rejected_path.display());
+                warn!(%path, aside = %rejected_path, "stored incarnation is not readable; set aside");
                 Ok(0)
             }
         }
@@ -114,7 +118,7 @@
     format!("{text} {checksum:016x}\n")
 }
 
-/// The number of a stored line; none unless it is whole and its checksum fits.
+/// Parses a stored line; none unless it is complete and its checksum matches.
 fn decode(bytes: &[u8]) -> Option<u64> {
     let line = std::str::from_utf8(bytes).ok()?.strip_suffix('\n')?;
     let (text, _) = line.rsplit_once(' ')?;
--- a/crates/tidewall-gateway/src/ingress_context.rs
+++ b/crates/tidewall-gateway/src/ingress_context.rs
@@ -1,4 +1,4 @@
-//! Admission: what an ingress may do with the gateway's state, and which requests are accepted.
+//! Admission of requests, and the part of the gateway's state that ingresses can use.
 use crate::error::AdmissionError;
 use crate::failover::RetryingClient;
 use crate::ingress::{IncomingRequest, ReplyHandle, NO_CLIENT};
@@ -12,17 +12,18 @@
 use tidewall_net::{Net, Time};
 use tracing::debug;
 
-/// The gateway as its ingresses see it: they tell it which requests come and which clients leave.
+/// The gateway's interface for its ingresses: they report arriving requests and leaving clients.
 pub struct IngressContext<N: Net> {
     pub(crate) scheduler: Scheduler<WorkerPool<N>>,
-    /// Nothing more is admitted; the process ends once nothing is in flight.
+    /// No request is admitted any more; the process ends once nothing is in flight.
     pub(crate) draining: bool,
-    /// Shutdown was requested; for the grace period requests are still admitted.
+    /// Shutdown was requested; requests are still admitted during the grace period.
     pub(crate) shutting_down: bool,
-    /// Another member of the failover pair serves.
+    /// The other member of the failover pair serves.
     pub(crate) standby: bool,
     max_requests: usize,
-    /// Retries of requests that the other member has in flight: its slot there, and who asks.
+    /// Retries of requests that the other member has in flight: the request's slot there, and the client
+    /// that retries.
     pub(crate) awaited_remote: VecDeque<(usize, RetryingClient)>,
 }
 
@@ -47,7 +48,7 @@
         &mut self.scheduler.host.net
     }
 
-    /// The network and the clock, for reading.
+    /// The network and the clock, read-only.
     pub fn net_ref(&self) -> &N {
         &self.scheduler.host.net
     }
@@ -62,17 +63,17 @@
         &self.scheduler.host.tenant_names
     }
 
-    /// The gateway's totals.
+    /// The gateway's counters.
     pub fn counters(&mut self) -> &mut Counters {
         &mut self.scheduler.host.counters
     }
 
-    /// Admits a request, which gets exactly one response from now on. The slot that it gives names the request to
-    /// `client_abandoned`; it is `NO_REQUEST_SLOT` where a request with the same idempotency key is in flight or answered
-    /// elsewhere.
+    /// Admits a request, which then gets exactly one response. Returns the slot that identifies the request
+    /// to `client_abandoned`. The slot is `NO_REQUEST_SLOT` if a request with the same idempotency key is
+    /// in flight or answered elsewhere.
     ///
     /// # Errors
-    /// Where the request is refused; nothing follows then.
+    /// If the request is refused; no response follows.
     pub fn admit(&mut self, incoming: &IncomingRequest) -> Result<usize, AdmissionError> {
         if let Some(slot) = self.find_duplicate(incoming) {
             return Ok(slot);
@@ -98,7 +99,7 @@
         Err(refusal)
     }
 
-    /// Registers a request and hands it to the scheduler; gives its slot.
+    /// Registers a request, passes it to the scheduler and returns its slot.
     pub(crate) fn start_request(&mut self, incoming: &IncomingRequest) -> usize {
         let now = self.scheduler.host.net.now();
         let info = self.request_info(incoming, now);
@@ -116,7 +117,7 @@
         slot
     }
 
-    /// The request in the scheduler's terms.
+    /// Converts a request to the scheduler's representation.
     fn request_info(&mut self, incoming: &IncomingRequest, now: Time) -> RequestInfo {
         let pool = &mut self.scheduler.host;
         let margin = pool.replicator.as_ref().map_or(0, |replicator| {
@@ -126,9 +127,9 @@
                 replicator.silence_timeout,
             )
         });
-        // Our own timers may fire late: the scheduler is told that the client stops waiting so much earlier, or a response
-        // that is just in time for the scheduler would come too late for the client. Twice the worst lag so far, as the
-        // next may be worse.
+        // This process's timers may fire late. The scheduler gets a deadline that is earlier by this lag,
+        // otherwise a response that is just in time for the scheduler would reach the client too late. The
+        // lag is twice the worst lag so far, because the next one may be worse.
         let lag = (2 * pool.net.max_timer_lag()).min(incoming.remaining / 4);
         RequestInfo {
             class: incoming.class,
@@ -144,34 +145,36 @@
         }
     }
 
-    /// `Ingress::timer_fired` follows for the ingress with this index after `wait` tenths of a millisecond.
+    /// Sets a timer: `Ingress::timer_fired` is called for the ingress with this index after `wait` tenths
+    /// of a millisecond.
     pub fn set_ingress_timer(&mut self, ingress: usize, wait: Time) {
         let at = self.net().now() + wait;
         self.net()
             .set_timer(at, TimerToken::Ingress(ingress).pack());
     }
 
-    /// Requests in flight, and how many there may be.
+    /// The number of requests in flight, and its limit.
     pub fn in_flight(&self) -> (usize, usize) {
         (self.scheduler.host.in_flight, self.max_requests)
     }
 
-    /// Whether shutdown was requested, while requests are still admitted and afterwards.
+    /// Whether shutdown was requested. Stays true while requests are still admitted and afterwards.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down || self.draining
     }
 
-    /// The longest Retry-After that clients respect, in tenths of a millisecond; 0 where they are told none.
+    /// The longest Retry-After that clients respect, in tenths of a millisecond; 0 if clients are given
+    /// none.
     pub fn max_retry_after(&self) -> Time {
         self.scheduler.host.max_retry_after
     }
 
-    /// Whether nothing more is admitted because the gateway is draining.
+    /// Whether no request is admitted any more because the gateway is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// The client does not wait for this request any more.
+    /// Handles a client that does not wait for this request any more.
     pub fn client_abandoned(&mut self, slot: usize, handle: ReplyHandle) {
         let now = self.net().now();
         let pool = &mut self.scheduler.host;
@@ -187,7 +190,8 @@
         }
     }
 
-    /// The client's connection broke. A member of a failover pair goes on with requests that can be asked for again.
+    /// Handles a broken client connection. A member of a failover pair continues with requests that have an
+    /// idempotency key, because the client can ask for them again.
     pub fn client_disconnected(&mut self, slot: usize, handle: ReplyHandle) {
         let pool = &mut self.scheduler.host;
         let is_pair = pool.replicator.is_some();
--- a/crates/tidewall-gateway/src/late_responses.rs
+++ b/crates/tidewall-gateway/src/late_responses.rs
@@ -1,5 +1,6 @@
-//! Responses behind their deadline. Their clients may have said meanwhile that they leave, in input that this wake-up has not
-//! read yet: it is read first, and who has left is sent nothing.
+//! Responses that are past their deadline. The client may have reported meanwhile that it abandons the
+//! request, in input that this wake-up has not read yet. The input is read first, and a client that has
+//! abandoned its request is sent nothing.
 use crate::ingress::Response;
 use crate::worker_pool::LocalResponse;
 use crate::Gateway;
@@ -12,7 +13,8 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Sends a request's final response to its client: at once, or at the end of the wake-up where its deadline has passed.
+    /// Sends a request's final response to its client: immediately, or at the end of the wake-up if its
+    /// deadline has passed.
     pub(crate) fn send_to_client(&mut self, response: &LocalResponse, payload: &[u8]) {
         let pool = &self.context.scheduler.host;
         if pool.net.now() > response.deadline {
@@ -25,7 +27,7 @@
         self.write_response(response, payload);
     }
 
-    /// The clients' input of this wake-up has been read.
+    /// Sends the late responses, after the clients' input of this wake-up has been read.
     pub(crate) fn send_late_responses(&mut self) {
         if self.late_responses.is_empty() {
             return;
--- a/crates/tidewall-gateway/src/listeners.rs
+++ b/crates/tidewall-gateway/src/listeners.rs
@@ -8,11 +8,11 @@
 use tracing::info;
 
 impl<N: Net> Gateway<N> {
-    /// Adds an ingress and listens for it; gives the address that it listens on. A member of a failover pair listens once it
-    /// serves.
+    /// Adds an ingress, starts listening for it and returns the address that it listens on. A member of a
+    /// failover pair starts listening when it begins to serve.
     ///
     /// # Errors
-    /// Where the address cannot be listened on; the error names it.
+    /// If listening on the address fails; the error names the address.
     pub fn add_ingress(
         &mut self,
         address: SocketAddr,
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Stops listening; open connections stay.
+    /// Stops listening; open connections stay open.
     pub(crate) fn stop_listening(&mut self) {
         self.closed_listeners.clear();
         for (ingress, listener) in self.listeners.iter_mut().enumerate() {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The ingress that a listener belongs to, or belonged to until it was closed.
+    /// Returns the ingress that a listener belongs to, or belonged to until it was closed.
     pub(crate) fn ingress_of(&self, listener: Listener) -> Option<usize> {
         let open = self
             .listeners
--- a/crates/tidewall-gateway/src/messages.rs
+++ b/crates/tidewall-gateway/src/messages.rs
@@ -1,4 +1,5 @@
-//! Reading messages of workers, of the discovery server and of other gateways. A malformed one costs its own connection.
+//! Reads messages from workers, the discovery server and other gateways. A malformed message ends only the
+//! connection that it came on.
 use crate::connection_owners::Owner;
 use crate::error::ProtocolError;
 use crate::worker_events::WorkerEventHandler;
@@ -8,13 +9,13 @@
 use tidewall_wire::{self as wire, Fields};
 use tracing::{debug, warn};
 
-/// Malformed messages are logged as warnings this often at most, once a second, however fast they come; the counter tells
-/// the rest.
+/// Malformed messages are logged as warnings at most once a second, however fast they arrive. Further ones
+/// are logged at debug level and counted.
 const MALFORMED_LOG_INTERVAL: Time = 10_000;
 
 impl<N: Net> Gateway<N> {
-    /// Reads messages and handles each; a malformed one ends the connection with an error message. Gives the number of bytes
-    /// used.
+    /// Reads and handles all complete messages; a malformed one ends the connection with an error message.
+    /// Returns the number of bytes consumed.
     pub(crate) fn read_messages(&mut self, conn: Conn, bytes: &[u8], owner: Owner) -> usize {
         let mut used = 0;
         while self.owner(conn) == owner {
@@ -31,7 +32,7 @@
         used
     }
 
-    /// Reads one message and gives its length; none while it is incomplete.
+    /// Reads one message and returns its length; none while it is incomplete.
     fn read_message(
         &mut self,
         conn: Conn,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Reads one frame of another gateway.
+    /// Reads one frame from another gateway.
     fn read_gateway_frame(
         &mut self,
         conn: Conn,
@@ -66,7 +67,8 @@
         Ok(Some(length))
     }
 
-    /// Tells the sender why, closes the connection, and goes on as where it broke.
+    /// Sends the reason to the sender, closes the connection, and continues as if the connection had
+    /// broken.
     fn reject_malformed(&mut self, conn: Conn, owner: Owner, error: &ProtocolError) {
         let reason = error.to_string();
         let source = match owner {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// A datagram of another gateway of the site.
+    /// Handles a datagram from another gateway of the site.
     pub(crate) fn peer_datagram_received(&mut self, from: SocketAddr, bytes: &[u8]) {
         let pool = &mut self.context.scheduler.host;
         let sender = pool
--- a/crates/tidewall-gateway/src/native_ingress.rs
+++ b/crates/tidewall-gateway/src/native_ingress.rs
@@ -7,13 +7,14 @@
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame, WireError};
 use tracing::warn;
 
-/// The longest time that a client may give: an hour, in tenths of a millisecond, as the settings allow.
+/// The longest time that a client may state: an hour, in tenths of a millisecond, which is also the limit
+/// in the settings.
 const MAX_CLIENT_TIME: Time = 36_000_000;
 
-/// The most lanes that a request may take, as the settings allow.
+/// The most lanes that a request may occupy, which is also the limit in the settings.
 const MAX_LANES: u64 = 1000;
 
-/// A client's connection.
+/// The state of a client's connection.
 #[derive(Default)]
 struct Client {
     /// The connection's generation.
@@ -23,19 +24,19 @@
 
 /// The ingress for clients that speak native frames.
 pub struct NativeIngress {
-    /// Its index among the gateway's ingresses.
+    /// The ingress's index among the gateway's ingresses.
     index: usize,
     /// The gateway's name.
     name: String,
-    /// By connection index.
+    /// Clients by connection index.
     clients: Vec<Client>,
     requests: ClientRequests,
-    /// The frame that is being written.
+    /// Buffer for the frame that is being encoded.
     frame: Vec<u8>,
 }
 
 impl NativeIngress {
-    /// The ingress with this index, of the gateway with this name.
+    /// Creates the ingress with this index, of the gateway with this name.
     pub fn new(index: usize, name: &str) -> NativeIngress {
         NativeIngress {
             index,
@@ -60,13 +61,13 @@
         fields: &Fields,
     ) -> Result<(), ProtocolError> {
         if !self.client(conn).greeted {
-            return self.greeted(context, conn, fields);
+            return self.greeting_received(context, conn, fields);
         }
         match fields.kind()? {
             kind::EVENT => self.request_received(context, conn, fields),
             kind::LEAVE => {
                 let id = fields.whole(Field::Id)?;
-                // The response may have crossed it.
+                // The response may have been sent before the client's message arrived.
                 if let Some(key) = self.requests.find(conn, id) {
                     let handle = self.requests.handle(key);
                     let request = self.requests.remove(key);
@@ -80,8 +81,8 @@
         }
     }
 
-    /// The first frame of a connection: it is answered with the gateway's own greeting.
-    fn greeted<N: Net>(
+    /// Handles the first frame of a connection, and answers it with the gateway's greeting.
+    fn greeting_received<N: Net>(
         &mut self,
         context: &mut IngressContext<N>,
         conn: Conn,
@@ -152,7 +153,7 @@
         context.net().write(conn, &self.frame);
     }
 
-    /// A connection is over, and nobody waits for its requests on it any more.
+    /// Handles the end of a connection: no client waits for its requests any more.
     fn disconnected<N: Net>(&mut self, context: &mut IngressContext<N>, conn: Conn) {
         while let Some(key) = self.requests.latest(conn) {
             let handle = self.requests.handle(key);
@@ -162,7 +163,7 @@
         *self.client(conn) = Client::default();
     }
 
-    /// A malformed frame costs its connection.
+    /// Closes the connection on which a malformed frame arrived.
     fn reject_malformed<N: Net>(
         &mut self,
         context: &mut IngressContext<N>,
@@ -180,7 +181,8 @@
     }
 }
 
-/// Reads a request's fields. Its remaining time is 0 where too little of it is certain; the reply handle is not set yet.
+/// Reads a request's fields. The remaining time is reduced by the time that the request may have been
+/// unread; the reply handle is not set yet.
 fn read_request<'a, N: Net>(
     context: &IngressContext<N>,
     id: u64,
@@ -192,7 +194,7 @@
         .iter()
         .position(|name| name == class_name);
     let tenant_name = fields.word(Field::Tenant)?;
-    // It may have waited for so long before it was read.
+    // The request may have been unread for up to this time.
     let read_delay = context.net_ref().read_delay();
     let stated = fields.upto(Field::Left, MAX_CLIENT_TIME, 0)?;
     let remaining = stated.saturating_sub(read_delay);
@@ -217,7 +219,7 @@
         idempotency_key: fields.bytes(Field::Mark)?,
         payload: fields.bytes(Field::Payload)?,
     };
-    // The time is required: `upto` takes 0 for a field that is missing.
+    // The remaining time is required, but `upto` returns 0 for a missing field.
     fields.whole(Field::Left)?;
     Ok(incoming)
 }
@@ -277,7 +279,7 @@
     }
 
     fn respond(&mut self, net: &mut N, handle: ReplyHandle, response: &Response) {
-        // The client may have left in the same wake-up.
+        // The client may have abandoned the request in the same wake-up.
         let Some(key) = self.requests.key(handle) else {
             return;
         };
@@ -296,7 +298,8 @@
         };
         frame.end();
         if !net.write(request.conn, &self.frame) {
-            // A client that reads nothing until its buffer is full has lost its responses, not its neighbours.
+            // A client that reads nothing until its buffer is full loses its own connection only; other
+            // clients are not affected.
             net.abort(request.conn);
         }
     }
--- a/crates/tidewall-gateway/src/native_protocol.rs
+++ b/crates/tidewall-gateway/src/native_protocol.rs
@@ -1,4 +1,4 @@
-//! Workers and the discovery server as they speak the native frames of `docs/wire.md`.
+//! The protocols of workers and of the discovery server in the native frames of `docs/wire.md`.
 use crate::backoff::Backoff;
 use crate::endpoints::{read_record, EndpointRecord};
 use crate::error::ProtocolError;
@@ -10,16 +10,17 @@
 use tidewall::interface::{Outcome, Time};
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame, WireError};
 
-/// The highest age that a worker may give, so that sums of ages and times do not overflow.
+/// The highest age that a worker may state, so that sums of ages and times do not overflow.
 const MAX_AGE: u64 = u64::MAX >> 8;
 
-/// The most that an attempt's end may say of its instance: the numbers of the scheduler's notes, three bits.
+/// The highest instance note in the end of an attempt: the scheduler's instance notes, which have three
+/// bits.
 const MAX_INSTANCE_NOTE: u64 = 4;
 
-/// The most other attempts beside one that its end may count.
+/// The highest number of other running attempts in the end of an attempt.
 const MAX_CONCURRENT: u64 = 30;
 
-/// The most instances that a worker may say it has.
+/// The highest number of instances that a worker may report.
 const MAX_INSTANCES: u64 = 1 << 16;
 
 /// The worker protocol in native frames.
@@ -39,7 +40,7 @@
     frame.end();
 }
 
-/// Adds the epoch of a failover pair; other gateways have none.
+/// Adds the epoch of a failover pair's member; other gateways send none.
 fn with_epoch(frame: Frame, epoch: u64) -> Frame {
     if epoch > 0 {
         frame.whole(Field::Epoch, epoch)
@@ -142,7 +143,7 @@
         let (body, _) = wire::frame(bytes)?.ok_or(WireError::Truncated)?;
         let fields = Fields::read(body)?;
         if fields.kind()? != kind::PEER {
-            return Err(WireError::invalid(Field::Kind, "not a gateway's").into());
+            return Err(WireError::invalid(Field::Kind, "not a gateway datagram").into());
         }
         let sender = fields.upto(Field::Id, u64::from(u32::MAX), 0)?;
         Ok((sender as u32, fields.bytes(Field::Payload)?))
@@ -153,7 +154,7 @@
     }
 }
 
-/// Reads one frame of a worker: its greeting first, then anything else.
+/// Reads one frame from a worker. The first frame must be its greeting.
 fn read_frame(fields: &Fields, events: &mut dyn WorkerEvents) -> Result<(), ProtocolError> {
     if !events.has_greeted() {
         let role = wire::greeted(fields)?;
@@ -206,7 +207,7 @@
     WireError::invalid(Field::Kind, format!("{kind} is not for a gateway")).into()
 }
 
-/// Hands on the load report that an answer may carry.
+/// Passes on the load report that an answer may contain.
 fn read_load_report(fields: &Fields, events: &mut dyn WorkerEvents) -> Result<(), ProtocolError> {
     if fields.has(Field::InFlight) || fields.has(Field::Busy) {
         let in_flight = fields.real(Field::InFlight, 0.0)?;
@@ -216,7 +217,7 @@
     Ok(())
 }
 
-/// Hands on that a worker refused because another member of the failover pair serves.
+/// Reports that a worker refused a call because another member of the failover pair serves.
 fn read_epoch_rejection(
     fields: &Fields,
     events: &mut dyn WorkerEvents,
@@ -231,7 +232,8 @@
     Ok(match fields.text(Field::Outcome)? {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
-        // One that refuses because another member serves counts as full.
+        // A worker that refuses because another member of the failover pair serves counts as being at
+        // capacity.
         "full" | "fenced" => Outcome::AtCapacity,
         "miss" => Outcome::Miss,
         "cancelled" => Outcome::Cancelled,
@@ -242,7 +244,7 @@
     })
 }
 
-/// The discovery server of `docs/wire.md`, where it is called the roster.
+/// The protocol of the discovery server in `docs/wire.md`, where the server is called the roster.
 pub struct NativeDiscovery {
     address: SocketAddr,
     greeted: bool,
@@ -250,7 +252,8 @@
 }
 
 impl NativeDiscovery {
-    /// The server at this address; `backoff` draws the delays before it is connected again.
+    /// Creates a source for the server at this address; `backoff` determines the delays before
+    /// reconnecting.
     pub fn new(address: SocketAddr, backoff: Backoff) -> NativeDiscovery {
         NativeDiscovery {
             address,
@@ -280,7 +283,7 @@
             return Err(WireError::invalid(Field::Scope, reason).into());
         }
     };
-    // All of it is read before any of it is taken over.
+    // The whole list is read before any record is applied.
     let mut records: Vec<EndpointRecord> = Vec::new();
     fields.entries(|entry| {
         records.push(read_record(entry)?);
--- a/crates/tidewall-gateway/src/wakeup_profile.rs
+++ b/crates/tidewall-gateway/src/wakeup_profile.rs
@@ -1,27 +1,28 @@
-//! How long the steps of wake-ups take, by the part of the gateway that they are spent in. While a step runs nothing is read,
-//! no deadline is looked at and nothing is sent, so a long one is logged with its part. Times are in tenths of a millisecond.
+//! Durations of the steps of wake-ups, by the part of the gateway that they are spent in. While a step runs
+//! nothing is read, no deadline is checked and nothing is sent, so a long step is logged with its part.
+//! Times are in tenths of a millisecond.
 use std::fmt;
 use tidewall_net::Time;
 use tracing::warn;
 
-/// A part of a wake-up's work.
+/// A kind of step of a wake-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WakeupPart {
-    /// What clients sent.
+    /// Handling of input from clients.
     ClientInput,
-    /// What workers sent.
+    /// Handling of input from workers.
     WorkerInput,
-    /// An endpoint list, or a message of the discovery server.
+    /// Handling of an endpoint list or another message from the discovery server.
     EndpointList,
-    /// A timer.
+    /// Handling of a timer.
     Timer,
-    /// Sending what waits.
+    /// Sending of waiting calls and responses.
     Sending,
-    /// Connections that were opened or closed, datagrams, other gateways.
+    /// Everything else: closed connections, and input from other gateways.
     Other,
 }
 
-/// All parts, in the order of their numbers.
+/// All parts, in the order of their discriminants.
 const PARTS: [WakeupPart; 6] = [
     WakeupPart::ClientInput,
     WakeupPart::WorkerInput,
@@ -31,16 +32,18 @@
     WakeupPart::Other,
 ];
 
-/// Upper bounds of the histogram's buckets, 0.1 ms to 100 ms in steps of about three; what is longer has the last bucket.
+/// Upper bounds of the histogram's buckets, 0.1 ms to 100 ms in factors of about three; longer steps are
+/// counted in one more bucket.
 const BUCKET_BOUNDS: [Time; 7] = [1, 3, 10, 30, 100, 300, 1_000];
 
-/// A step of over 20 ms is logged: a fifth of the time after which an attempt for a client that has left is an error.
-const LONG_STEP: Time = 200;
+/// Steps longer than this are logged: 20 ms, a fifth of the time after which an attempt for a client that
+/// has disconnected is an error.
+const STEP_LOG_THRESHOLD: Time = 200;
 
-/// Long steps are logged once a second at most; the histogram tells the rest.
-const LOG_INTERVAL: Time = 10_000;
+/// Minimum interval between log lines about long steps: 1 s. The histogram counts every step.
+const STEP_LOG_INTERVAL: Time = 10_000;
 
-/// Histograms of the lengths of steps, by part.
+/// Histograms of step durations, by part.
 #[derive(Clone, Copy, Default)]
 pub struct WakeupProfile {
     counts: [[u64; BUCKET_BOUNDS.len() + 1]; PARTS.len()],
@@ -50,28 +53,30 @@
 }
 
 impl WakeupProfile {
-    /// Counts a step of `part` from `started` to `ended`, and logs it where it was long.
+    /// Records a step of `part` from `started` to `ended`, and logs it if it was long.
     pub fn record(&mut self, part: WakeupPart, started: Time, ended: Time) {
         let took = ended.saturating_sub(started);
         let bucket = BUCKET_BOUNDS.partition_point(|bound| *bound < took);
         self.counts[part as usize][bucket] += 1;
         let longest = &mut self.longest[part as usize];
         *longest = took.max(*longest);
-        let is_due = self.logged_at.is_none_or(|at| ended >= at + LOG_INTERVAL);
-        if took > LONG_STEP && is_due {
+        let is_due = self
+            .logged_at
+            .is_none_or(|at| ended >= at + STEP_LOG_INTERVAL);
+        if took > STEP_LOG_THRESHOLD && is_due {
             self.logged_at = Some(ended);
             warn!(?part, tenths_of_ms = took, "long step in a wake-up");
         }
     }
 
-    /// The longest step of a part so far.
+    /// Duration of the longest step of a part so far.
     pub fn longest(&self, part: WakeupPart) -> Time {
         self.longest[part as usize]
     }
 }
 
 impl fmt::Debug for WakeupProfile {
-    /// For each part its longest step and the counts of its buckets.
+    /// Prints for each part its longest step and the counts of its buckets.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let mut map = f.debug_map();
         for part in PARTS {
