--- a/crates/tidewall-gateway/tests/descriptors.rs
+++ b/crates/tidewall-gateway/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! File descriptors are used up, on real sockets; alone in its process, since the limit is the process's.
+//! Behaviour on real sockets when no file descriptor is free. The test is alone in its process because the
+//! limit applies to the process.
 #![allow(clippy::unwrap_used)]
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -32,9 +33,9 @@
     }
 }
 
-fn run_for(probe: &mut Probe, tenths: u64) {
+fn run_for(probe: &mut Probe, tenths_of_ms: u64) {
     let now = probe.net.now();
-    let until = now + tenths;
+    let until = now + tenths_of_ms;
     while probe.net.now() < until {
         let at = probe.net.now() + 50;
         let timer = probe.net.set_timer(at, 0);
@@ -53,12 +54,12 @@
     let (_, at) = probe.net.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let worker = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect_timeout(&at, Duration::from_secs(1)).unwrap();
-    // All remaining descriptors are taken.
+    // Use up all remaining descriptors.
     let mut files = Vec::new();
     while let Ok(file) = std::fs::File::open("/dev/null") {
         files.push(file);
         if files.len() == 100_000 {
-            panic!("no limit was met: run with a limit of descriptors (ulimit -n)");
+            panic!("no limit was reached: run with a limit of descriptors (ulimit -n)");
         }
     }
     probe.net.connect(worker.local_addr().unwrap(), 10_000);
@@ -71,7 +72,7 @@
     run_for(&mut probe, 2_500);
     assert_eq!(
         probe.accepted, 1,
-        "accepting goes on when descriptors are back"
+        "accepting resumes when descriptors are free"
     );
     drop(client);
 }
--- a/crates/tidewall-gateway/tests/descriptors_at_close.rs
+++ b/crates/tidewall-gateway/tests/descriptors_at_close.rs
@@ -1,5 +1,6 @@
-//! A listener that is closed while no descriptor is left: what waits in its backlog is accepted once there are some. By itself in
-//! its file, as it takes all descriptors of its process.
+//! A listener that is closed while no file descriptor is free: connections in its backlog are accepted once
+//! descriptors are free again. The test is alone in its file because it uses up all descriptors of its
+//! process.
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 use tidewall_net::mio::{self, Mio};
@@ -28,8 +29,8 @@
     fn timer_fired(&mut self, _: u64) {}
 }
 
-fn run_for(probe: &mut Probe, tenths: u64) {
-    let until = probe.net.now() + tenths;
+fn run_for(probe: &mut Probe, tenths_of_ms: u64) {
+    let until = probe.net.now() + tenths_of_ms;
     while probe.net.now() < until {
         let at = probe.net.now() + 100;
         let timer = probe.net.set_timer(at, 0);
@@ -38,8 +39,8 @@
     }
 }
 
-/// Takes all descriptors that are left.
-fn all_descriptors() -> Vec<std::fs::File> {
+/// Opens files until no descriptor is free.
+fn take_all_descriptors() -> Vec<std::fs::File> {
     let mut files = Vec::new();
     while let Ok(file) = std::fs::File::open("/dev/null") {
         files.push(file);
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn the_backlog_outlives_a_shortage_of_descriptors_at_the_close() {
+fn the_backlog_is_accepted_after_a_descriptor_shortage_at_the_close() {
     let mut probe = Probe {
         net: Mio::new().unwrap(),
         accepted: 0,
@@ -63,7 +64,7 @@
         .expect("loopback has ports");
     let within = Duration::from_secs(1);
     let clients = [(); 3].map(|()| TcpStream::connect_timeout(&at, within).unwrap());
-    let mut files = all_descriptors();
+    let mut files = take_all_descriptors();
     probe.net.stop_listening(listener);
     run_for(&mut probe, 500);
     assert_eq!(probe.accepted, 0);
@@ -71,10 +72,11 @@
     run_for(&mut probe, 2_500);
     assert_eq!(probe.accepted, clients.len());
     let refused = TcpStream::connect_timeout(&at, within);
-    assert!(refused.is_err(), "it listens no more");
-    // The same file, as two tests would take each other's descriptors: a shortage at the start of a listener passes.
+    assert!(refused.is_err(), "the listener is closed");
+    // In the same test, because two tests would use up each other's descriptors: starting a listener
+    // survives a short shortage.
     let freed = std::thread::spawn({
-        let files = all_descriptors();
+        let files = take_all_descriptors();
         move || {
             std::thread::sleep(Duration::from_millis(60));
             drop(files);
@@ -82,5 +84,5 @@
     });
     let listened = probe.net.listen(([127, 0, 0, 1], 0).into());
     assert!(listened.is_ok(), "{listened:?}");
-    freed.join().expect("it only sleeps");
+    freed.join().expect("the thread does not panic");
 }
--- a/crates/tidewall-gateway/tests/drawn_failover_messages.rs
+++ b/crates/tidewall-gateway/tests/drawn_failover_messages.rs
@@ -1,4 +1,4 @@
-//! Drawn messages of failover are read as they were written.
+//! Randomly generated failover messages decode to what was encoded.
 #![allow(clippy::unwrap_used)]
 #[path = "help/frames.rs"]
 mod frames;
@@ -18,18 +18,18 @@
 use tidewall_gateway::ingress::Disposition;
 use tidewall_wire::{kind, Fields};
 
-const DRAWN: usize = 2_000;
+const MESSAGE_COUNT: usize = 2_000;
 
-/// Draws values; small and extreme ones are as likely as others.
-struct Draw(ChaCha8Rng);
+/// Generates random values; small and extreme values are as likely as others.
+struct Generator(ChaCha8Rng);
 
-impl Draw {
-    fn up_to(&mut self, most: u64) -> u64 {
+impl Generator {
+    fn up_to(&mut self, max: u64) -> u64 {
         match self.0.random_range(0..4) {
             0 => 0,
-            1 => most,
-            2 => self.0.random_range(0..=most.min(30)),
-            _ => self.0.random_range(0..=most),
+            1 => max,
+            2 => self.0.random_range(0..=max.min(30)),
+            _ => self.0.random_range(0..=max),
         }
     }
 
@@ -88,80 +88,80 @@
     }
 }
 
-/// What a drawn record borrows.
+/// The data that a generated record borrows.
 struct Borrowed {
     text: String,
     key: Vec<u8>,
     payload: Vec<u8>,
 }
 
-fn drawn_record<'a>(draw: &mut Draw, borrowed: &'a Borrowed) -> ReplicationRecord<'a> {
-    let slot = draw.slot();
-    match draw.0.random_range(0..8) {
+fn random_record<'a>(generator: &mut Generator, borrowed: &'a Borrowed) -> ReplicationRecord<'a> {
+    let slot = generator.slot();
+    match generator.0.random_range(0..8) {
         0 => ReplicationRecord::SnapshotStarted {
-            only_changes: draw.flag(),
-            history_unknown: draw.up_to(40_000),
+            only_changes: generator.flag(),
+            history_unknown: generator.up_to(40_000),
         },
         1 => ReplicationRecord::RequestAdmitted(AdmittedRequest {
             slot,
-            id: draw.number(),
-            class: draw.up_to(2) as usize,
-            tenant: draw.flag().then(|| draw.up_to(1) as usize),
+            id: generator.number(),
+            class: generator.up_to(2) as usize,
+            tenant: generator.flag().then(|| generator.up_to(1) as usize),
             function: &borrowed.text,
-            lanes: draw.up_to(1_000) as u32,
-            memory: draw.memory(),
-            cost_hint: draw.duration(),
-            load_hint: draw.duration(),
-            remaining: draw.duration(),
+            lanes: generator.up_to(1_000) as u32,
+            memory: generator.memory(),
+            cost_hint: generator.duration(),
+            load_hint: generator.duration(),
+            remaining: generator.duration(),
             idempotency_key: &borrowed.key,
             payload: &borrowed.payload,
         }),
         2 => ReplicationRecord::AttemptStarted {
             slot,
-            attempt: draw.number(),
+            attempt: generator.number(),
             worker: &borrowed.text,
         },
         3 => ReplicationRecord::AttemptEnded {
             slot,
-            attempt: draw.number(),
-            not_executed: draw.flag(),
+            attempt: generator.number(),
+            not_executed: generator.flag(),
         },
         4 => ReplicationRecord::ResponseRecorded(FinalResponse {
-            slot: draw.flag().then_some(slot),
-            request: draw.flag().then(|| RequestKey {
-                class: draw.up_to(2) as usize,
+            slot: generator.flag().then_some(slot),
+            request: generator.flag().then(|| RequestKey {
+                class: generator.up_to(2) as usize,
                 idempotency_key: &borrowed.key,
             }),
-            disposition: draw.disposition(),
+            disposition: generator.disposition(),
             payload: &borrowed.payload,
         }),
         5 => ReplicationRecord::RequestAbandoned { slot },
         6 => ReplicationRecord::LoadRequested {
-            age: draw.duration(),
+            age: generator.duration(),
         },
         _ => ReplicationRecord::SnapshotCompleted,
     }
 }
 
 #[test]
-fn drawn_records_are_read_as_they_were_written() {
+fn random_records_decode_to_what_was_encoded() {
     let classes = ["book", "check", "pay"].map(String::from);
     let tenants = ["north", "söuth"].map(String::from);
     let names = RecordNames {
         classes: &classes,
         tenants: &tenants,
     };
-    let mut draw = Draw(ChaCha8Rng::seed_from_u64(1));
+    let mut generator = Generator(ChaCha8Rng::seed_from_u64(1));
     let mut seen = BTreeSet::new();
     let mut buffer = Vec::with_capacity(1 << 16);
-    let place = buffer.as_ptr();
-    for number in 0..DRAWN {
+    let buffer_address = buffer.as_ptr();
+    for number in 0..MESSAGE_COUNT {
         let borrowed = Borrowed {
-            text: draw.text(),
-            key: draw.bytes(),
-            payload: draw.bytes(),
+            text: generator.text(),
+            key: generator.bytes(),
+            payload: generator.bytes(),
         };
-        let record = drawn_record(&mut draw, &borrowed);
+        let record = random_record(&mut generator, &borrowed);
         buffer.clear();
         record.encode(&mut buffer, names);
         let fields = fields(&buffer);
@@ -171,11 +171,14 @@
         seen.insert(fields.kind().expect("a kind"));
     }
     assert_eq!(seen, (kind::COPY..=kind::COPIED).collect());
-    // A buffer with room is not replaced by another.
-    assert_eq!((buffer.as_ptr(), buffer.capacity()), (place, 1 << 16));
+    // A buffer with sufficient capacity is not reallocated.
+    assert_eq!(
+        (buffer.as_ptr(), buffer.capacity()),
+        (buffer_address, 1 << 16)
+    );
 }
 
-fn read_as_written<M: PartialEq + Debug>(
+fn assert_round_trip<M: PartialEq + Debug>(
     message: &M,
     encode: impl FnOnce(&mut Vec<u8>),
     decode: impl FnOnce(&Fields) -> M,
@@ -185,49 +188,49 @@
 }
 
 #[test]
-fn drawn_control_messages_are_read_as_they_were_written() {
-    let mut draw = Draw(ChaCha8Rng::seed_from_u64(2));
-    for _ in 0..DRAWN {
-        let control = match draw.0.random_range(0..4) {
+fn random_control_messages_decode_to_what_was_encoded() {
+    let mut generator = Generator(ChaCha8Rng::seed_from_u64(2));
+    for _ in 0..MESSAGE_COUNT {
+        let control = match generator.0.random_range(0..4) {
             0 => PeerControl::Heartbeat {
-                serves: draw.flag(),
-                synced_incarnation: draw.number(),
-                epoch: draw.number(),
+                serves: generator.flag(),
+                synced_incarnation: generator.number(),
+                epoch: generator.number(),
             },
             1 => PeerControl::Acknowledged {
-                sequence: draw.number(),
+                sequence: generator.number(),
             },
             2 => PeerControl::StepDownRequested,
             _ => PeerControl::SteppedDown,
         };
-        read_as_written(
+        assert_round_trip(
             &Some(control),
             |out| control.encode(out),
             |fields| PeerControl::decode(fields).expect("well formed"),
         );
-        let (call_id, ballot) = (draw.number(), draw.number());
-        let request = match draw.flag() {
+        let (call_id, ballot) = (generator.number(), generator.number());
+        let request = match generator.flag() {
             true => VoteRequest::Prepare { call_id, ballot },
             false => VoteRequest::Accept {
                 call_id,
                 ballot,
-                leadership: draw.leadership(),
+                leadership: generator.leadership(),
             },
         };
-        read_as_written(
+        assert_round_trip(
             &Some(request),
             |out| request.encode(out),
             |fields| VoteRequest::decode(fields).expect("well formed"),
         );
         let reply = VoteReply {
             call_id,
-            granted: draw.flag(),
+            granted: generator.flag(),
             acceptor: LeadershipAcceptor {
                 promised: ballot,
-                accepted: draw.leadership(),
+                accepted: generator.leadership(),
             },
         };
-        read_as_written(
+        assert_round_trip(
             &reply,
             |out| reply.encode(out),
             |fields| VoteReply::decode(fields).expect("a reply"),
@@ -236,15 +239,15 @@
 }
 
 #[test]
-fn drawn_greetings_and_statuses_are_read_as_they_were_written() {
-    let mut draw = Draw(ChaCha8Rng::seed_from_u64(3));
-    for _ in 0..DRAWN {
-        let (name, text, settings) = (draw.text(), draw.text(), draw.bytes());
+fn random_greetings_and_statuses_decode_to_what_was_encoded() {
+    let mut generator = Generator(ChaCha8Rng::seed_from_u64(3));
+    for _ in 0..MESSAGE_COUNT {
+        let (name, text, settings) = (generator.text(), generator.text(), generator.bytes());
         let greeting = PeerGreeting {
             name: &name,
-            incarnation: draw.number(),
-            serves: draw.flag(),
-            epoch: draw.number(),
+            incarnation: generator.number(),
+            serves: generator.flag(),
+            epoch: generator.number(),
             shared_settings: &settings,
         };
         let bytes = encoded(|out| greeting.encode(out));
@@ -255,15 +258,15 @@
         let status = GatewayStatus {
             name: &name,
             role: &text,
-            epoch: draw.number(),
-            connected: draw.flag(),
-            incarnation: draw.number(),
-            in_flight: draw.number(),
-            waiting: draw.number(),
-            replicated_requests: draw.number(),
-            unacknowledged: draw.number(),
-            rejected_advertisements: draw.number(),
-            settings_mismatch: if draw.flag() { &text } else { "" },
+            epoch: generator.number(),
+            connected: generator.flag(),
+            incarnation: generator.number(),
+            in_flight: generator.number(),
+            waiting: generator.number(),
+            replicated_requests: generator.number(),
+            unacknowledged: generator.number(),
+            rejected_advertisements: generator.number(),
+            settings_mismatch: if generator.flag() { &text } else { "" },
         };
         let bytes = encoded(|out| status.encode(out));
         assert_eq!(GatewayStatus::decode(&fields(&bytes)), Ok(status));
--- a/crates/tidewall-gateway/tests/help/mod.rs
+++ b/crates/tidewall-gateway/tests/help/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway among scripted peers on the network in memory.
+//! A gateway among scripted peers on an in-memory network.
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -18,7 +18,8 @@
     text.parse().unwrap()
 }
 
-/// A frame that a peer received: its connection, kind, id, and the word or reason in it.
+/// A frame that a peer received: connection, kind, ids, the word or reason in it, Retry-After and time of
+/// receipt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedFrame {
     pub conn: Conn,
@@ -30,43 +31,44 @@
     pub received_at: Time,
 }
 
-/// What a worker does with an attempt.
+/// How a worker reacts to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
     Answers,
-    /// Answers so much later.
+    /// Answers after this delay.
     AnswersAfter(Time),
-    /// Answers, and its connection breaks right behind that.
+    /// Answers, and resets its connection immediately afterwards.
     AnswersAndResets,
     Nothing,
     /// Answers with this outcome.
     #[allow(dead_code)] // for the AMQP ingress's tests
     AnswersOutcome(&'static str),
-    /// Reads nothing, not even a greeting.
+    /// Reads nothing, not even the gateway's greeting.
     ReadsNothing,
-    /// Begins an answer in parts, and then says nothing.
+    /// Sends the first part of a response, and nothing afterwards.
     StartsResponse,
-    /// Answers with so many bytes.
+    /// Answers with a payload of this many bytes.
     AnswersBytes(usize),
-    /// Its connection breaks after so many bytes of its answer.
+    /// Sends this many bytes of its answer and resets its connection.
     ResetsAfter(usize),
 }
 
-/// A client, worker or discovery server; with the role `raw` it writes nothing by itself and ignores what it gets.
+/// A client, worker or discovery server. With the role `raw` it sends nothing unless told to, and ignores
+/// what it receives.
 pub struct Peer {
     pub net: Memory,
     pub role: &'static str,
     pub name: String,
     pub incarnation: u64,
-    /// How long ago it says that it started; 0 where it does not.
+    /// The time since the start that a worker states in its greeting; 0 for none.
     pub age: Time,
     pub behavior: Behavior,
     pub received_frames: Vec<ReceivedFrame>,
     pub close_reasons: Vec<CloseReason>,
-    /// The list of a discovery server.
+    /// The endpoint list of a discovery server.
     pub endpoints: Vec<EndpointRecord>,
     conns: Vec<Conn>,
-    /// Answers that wait for a timer, whose token is the index here.
+    /// Delayed answers; the timer's token is the index in this list.
     delayed: Vec<(Conn, u64)>,
 }
 
@@ -87,19 +89,19 @@
         }
     }
 
-    /// How many attempts a worker received.
+    /// Number of attempts that a worker received.
     pub fn attempts(&self) -> usize {
         self.received_of(kind::LAUNCH).count()
     }
 
-    /// The frames of this kind that it received.
+    /// The frames of this kind that the peer received.
     pub fn received_of(&self, kind: u64) -> impl Iterator<Item = &ReceivedFrame> {
         self.received_frames
             .iter()
             .filter(move |frame| frame.kind == kind)
     }
 
-    /// The words of the responses that a client received for a request.
+    /// The disposition words of the responses that a client received for a request.
     pub fn response_words(&self, id: u64) -> Vec<&str> {
         self.received_of(kind::ANSWER)
             .filter(|frame| frame.id == id)
@@ -113,14 +115,14 @@
         conn
     }
 
-    /// Writes something on each of its connections.
+    /// Writes the bytes to each of the peer's connections.
     pub fn write_to_all(&mut self, bytes: &[u8]) {
         for conn in self.conns.clone() {
             self.net.write(conn, bytes);
         }
     }
 
-    /// Sends its list anew to all gateways that watch it.
+    /// Sends the endpoint list again to all gateways that watch it.
     pub fn send_list_to_all(&mut self) {
         let list = self.list();
         self.write_to_all(&list);
@@ -286,15 +288,16 @@
 pub struct Site {
     pub world: Rc<RefCell<World>>,
     pub gateway: Gateway<Memory>,
-    /// The gateway's net.
+    /// A handle of the gateway's network.
     pub gateway_net: Memory,
     pub discovery: Peer,
     pub workers: Vec<Peer>,
     pub client: Peer,
 }
 
-/// Classes: 0 "check" idempotent, 1 "record" with an idempotency key in a zone, 2 "issue" non-idempotent. Workers load by
-/// themselves and load requests are not rate limited, so that each test is about its own matter.
+/// Classes: 0 "check" idempotent, 1 "record" with an idempotency key in a zone, 2 "issue" non-idempotent.
+/// Workers load functions by themselves and load requests are not rate limited, so that load requests do
+/// not interfere with the tests.
 const SETTINGS: &str = r#"
 gateway { name: "g0" address: "127.0.0.1:700" zone: "z" }
 roster { address: "127.0.0.1:701" }
@@ -347,7 +350,8 @@
     site_seeded(behaviors, limits, cache, 7)
 }
 
-/// Joins gateway, discovery server, one worker for each of `behaviors`, and a client, in this order; the client connects.
+/// Joins a gateway, a discovery server, one worker for each of `behaviors`, and a client to a new network,
+/// in this order; the client connects.
 pub fn site_seeded(
     behaviors: &[Behavior],
     limits: GatewayLimits,
@@ -398,7 +402,7 @@
 }
 
 impl Site {
-    /// Lets so much time pass.
+    /// Runs the site for this long.
     pub fn run_for(&mut self, time: Time) {
         let until = self.gateway_net.now() + time;
         let mut apps: Vec<&mut dyn App<Net = Memory>> =
@@ -410,7 +414,7 @@
         memory::run(&self.world, &mut apps, until);
     }
 
-    /// The client's requests, in one write.
+    /// Sends requests from the client, in one write.
     pub fn send_requests(&mut self, ids: Range<u64>, class: &str, remaining: Time) {
         let mut out = Vec::new();
         for id in ids {
@@ -419,7 +423,8 @@
         self.send(&out);
     }
 
-    /// A worker dies and comes back at its address as its next incarnation, before the discovery server notices.
+    /// Kills a worker and restarts it at its address as its next incarnation, before the discovery server
+    /// notices.
     pub fn restart_worker(&mut self, worker: usize) {
         let peer = &mut self.workers[worker];
         peer.net.kill();
@@ -434,14 +439,14 @@
         assert!(self.client.net.write(conn, bytes));
     }
 
-    /// The client stops reading, or reads on.
+    /// Makes the client stop or resume reading.
     pub fn pause_client_reading(&mut self, paused: bool) {
         for conn in self.client.conns.clone() {
             self.client.net.set_read_paused(conn, paused);
         }
     }
 
-    /// Nothing is in flight, and each of these requests has just one response.
+    /// Asserts that nothing is in flight and that each of these requests has exactly one response.
     pub fn assert_all_answered(&self, ids: Range<u64>) {
         for id in ids {
             assert_eq!(
@@ -454,7 +459,7 @@
         assert_eq!(self.gateway.requests_in_flight(), 0);
     }
 
-    /// How many attempts all workers received.
+    /// Number of attempts that all workers received.
     pub fn attempts(&self) -> usize {
         self.workers.iter().map(Peer::attempts).sum()
     }
--- a/crates/tidewall-gateway/tests/incarnation_store.rs
+++ b/crates/tidewall-gateway/tests/incarnation_store.rs
@@ -1,4 +1,5 @@
-//! The stored number of a process's incarnation: above all before it, whatever the clock shows and whatever became of the file.
+//! The stored incarnation number of a process: each number is higher than all before it, whatever the clock
+//! shows and whatever state the file is in.
 #![allow(clippy::unwrap_used)]
 use std::fs;
 use std::path::PathBuf;
@@ -12,7 +13,7 @@
     (folder, path)
 }
 
-/// A start of the process: the store is opened, asked once, and closed by the process's end.
+/// Simulates one start of the process: opens the store, takes a number, and closes the store.
 fn start(path: &std::path::Path, clock: u64) -> u64 {
     IncarnationStore::open(path)
         .unwrap()
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn what_others_know_raises_the_number() {
+fn a_number_known_to_others_raises_the_next_number() {
     let (_folder, path) = folder();
     let mut store = IncarnationStore::open(&path).unwrap();
     assert_eq!(store.next(9_000, 1_000).unwrap(), 9_001);
@@ -36,7 +37,7 @@
     assert_eq!(start(&path, 1_000), 9_002);
 }
 
-/// The format, byte by byte.
+/// Checks the exact content of the file.
 #[test]
 fn the_file_is_one_line() {
     let (_folder, path) = folder();
@@ -47,9 +48,10 @@
     );
 }
 
-/// A kill while the new content is written leaves it beside the old one, in any length.
+/// A kill while the new content is written leaves an incomplete temporary file of any length beside the old
+/// file.
 #[test]
-fn a_write_that_was_cut_short_changes_nothing() {
+fn an_interrupted_write_changes_nothing() {
     let (_folder, path) = folder();
     start(&path, 1_000);
     let whole = fs::read(&path).unwrap();
@@ -60,34 +62,34 @@
 }
 
 #[test]
-fn a_torn_file_is_set_aside_at_each_length() {
+fn a_truncated_file_is_set_aside_at_each_length() {
     let (_folder, path) = folder();
     start(&path, 1_000);
     let whole = fs::read(&path).unwrap();
     for length in 0..whole.len() {
         fs::write(&path, &whole[..length]).unwrap();
         assert_eq!(start(&path, 2_000), 2_000);
-        let aside = path.with_extension("incarnation.rejected");
-        assert_eq!(fs::read(aside).unwrap(), &whole[..length]);
+        let rejected_path = path.with_extension("incarnation.rejected");
+        assert_eq!(fs::read(rejected_path).unwrap(), &whole[..length]);
     }
 }
 
 #[test_case(b"tidewall-incarnation 2 1000 0000000000000000\n"; "another version")]
 #[test_case(b"tidewall-incarnation 1 1000 0000000000000000\n"; "a wrong checksum")]
-#[test_case(b"tidewall-incarnation 1 -1 0000000000000000\n"; "no number")]
-#[test_case(b"\xff\xfe\x00"; "no text")]
+#[test_case(b"tidewall-incarnation 1 -1 0000000000000000\n"; "not a number")]
+#[test_case(b"\xff\xfe\x00"; "not UTF-8")]
 #[test_case(b"a list of something else\n"; "not a store's")]
 fn a_file_that_is_not_readable_is_set_aside(content: &[u8]) {
     let (_folder, path) = folder();
     fs::write(&path, content).unwrap();
     assert_eq!(start(&path, 2_000), 2_000);
-    let aside = path.with_extension("incarnation.rejected");
-    assert_eq!(fs::read(aside).unwrap(), content);
+    let rejected_path = path.with_extension("incarnation.rejected");
+    assert_eq!(fs::read(rejected_path).unwrap(), content);
     assert_eq!(start(&path, 10), 2_001);
 }
 
 #[test]
-fn every_changed_bit_is_noticed() {
+fn every_flipped_bit_is_detected() {
     let (_folder, path) = folder();
     start(&path, 1_000);
     let whole = fs::read(&path).unwrap();
@@ -110,13 +112,13 @@
     start(&path, 1_000);
 }
 
-/// No number is given out that is not stored.
+/// Guards against issuing a number that could not be stored.
 #[test]
-fn a_folder_that_takes_no_file_gives_no_number() {
+fn no_number_is_issued_if_it_cannot_be_stored() {
     let (_folder, path) = folder();
     let mut store = IncarnationStore::open(&path).unwrap();
     assert_eq!(store.next(0, 1_000).unwrap(), 1_000);
-    // A folder in the way of the temporary file.
+    // A folder with the temporary file's name makes the write fail.
     let temporary = path.with_extension("incarnation.new");
     fs::create_dir(&temporary).unwrap();
     let error = store.next(0, 2_000).unwrap_err();
--- a/crates/tidewall-gateway/tests/read.rs
+++ b/crates/tidewall-gateway/tests/read.rs
@@ -1,5 +1,5 @@
-//! What is read at the start and of requests: authentication keys from a file's text, a request's remaining time, and why one is
-//! refused.
+//! Parsing of authentication keys and of a request's remaining time, and the wire texts of refused
+//! requests.
 #![allow(clippy::unwrap_used)]
 use test_case::test_case;
 use tidewall_gateway::config::parse_keys;
@@ -17,25 +17,21 @@
 }
 
 #[test_case("", "k:1:1: there is no key" ; "empty")]
-#[test_case("\n1", "k:2:1: a number and a key" ; "no key")]
-#[test_case("256 000102030405060708090a0b0c0d0e0f", "k:1:1: the number" ; "a number too high")]
-#[test_case("1 0001", "k:1:1: a key has an even number of at least 32" ; "too short")]
-#[test_case("1 000102030405060708090a0b0c0d0e0g", "k:1:1: a key has hexadecimal" ; "no digit")]
-#[test_case("1 000102030405060708090a0b0c0d0e0f\n1 000102030405060708090a0b0c0d0e0f", "k:2:1: the number stands twice" ; "twice")]
-fn bad_keys_name_their_line(text: &str, expected: &str) {
+#[test_case("\n1", "k:2:1: a number and a key" ; "number without key")]
+#[test_case("256 000102030405060708090a0b0c0d0e0f", "k:1:1: the number" ; "number out of range")]
+#[test_case("1 0001", "k:1:1: a key has an even number of at least 32" ; "key too short")]
+#[test_case("1 000102030405060708090a0b0c0d0e0g", "k:1:1: a key has hexadecimal" ; "not a hexadecimal digit")]
+#[test_case("1 000102030405060708090a0b0c0d0e0f\n1 000102030405060708090a0b0c0d0e0f", "k:2:1: the number stands twice" ; "duplicate number")]
+fn invalid_key_files_name_the_line(text: &str, expected: &str) {
     let error = parse_keys("k", text).err().expect("it is refused");
     assert!(error.to_string().starts_with(expected), "{error}");
 }
 
 #[test_case(21_000, 0, Some(21_000) ; "read at once")]
 #[test_case(21_000, 5_250, Some(15_750) ; "a quarter is uncertain")]
-#[test_case(21_000, 5_251, None ; "more than that")]
-#[test_case(0, 0, None ; "nothing was left")]
-fn a_request_keeps_the_time_that_is_certainly_left(
-    remaining: u64,
-    waited: u64,
-    certain: Option<u64>,
-) {
+#[test_case(21_000, 5_251, None ; "more than a quarter is uncertain")]
+#[test_case(0, 0, None ; "no time was left")]
+fn the_remaining_time_is_what_is_certainly_left(remaining: u64, waited: u64, certain: Option<u64>) {
     assert_eq!(remaining_time(remaining, waited), certain);
 }
 
--- a/crates/tidewall-gateway/tests/recorded_bytes.rs
+++ b/crates/tidewall-gateway/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Stored endpoint lists and native worker messages are the bytes that were recorded in `tests/oracles`, for the inputs that
-//! its README gives.
+//! Stored endpoint lists and native worker messages have the bytes that are recorded in `tests/oracles`,
+//! for the inputs in its README.
 #![allow(clippy::unwrap_used)]
 use std::fs;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// The bytes of a recorded message.
+/// Returns the bytes of a recorded message.
 fn message(name: &str) -> Vec<u8> {
     let text = oracle("wire/native-way.hex");
     let line = text
@@ -88,7 +88,7 @@
     assert_eq!(encode(&records), bytes);
 }
 
-/// What `write` appends to a buffer that is not empty.
+/// Returns what `write` appends to a buffer that is not empty.
 fn written(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
     let mut out = b"before".to_vec();
     write(&mut out);
@@ -96,7 +96,7 @@
     out.split_off(6)
 }
 
-#[test_case("hello", 0 ; "of a gateway of its own")]
+#[test_case("hello", 0 ; "of a gateway without a failover pair")]
 #[test_case("hello-pair-member", 2 ; "of a member of a failover pair")]
 fn greetings_have_the_recorded_bytes(name: &str, failover_member: u64) {
     let identity = LocalIdentity {
@@ -127,7 +127,7 @@
     };
     let bytes = written(|out| NativeWorkerProtocol.write_attempt(out, 77, &full));
     assert_eq!(bytes, message("launch"));
-    let least = AttemptMessage {
+    let minimal = AttemptMessage {
         request_id: 0,
         attempt: 0,
         lanes: 1,
@@ -141,12 +141,12 @@
         payload: &[],
         ..full
     };
-    let bytes = written(|out| NativeWorkerProtocol.write_attempt(out, 1, &least));
+    let bytes = written(|out| NativeWorkerProtocol.write_attempt(out, 1, &minimal));
     assert_eq!(bytes, message("launch-least"));
 }
 
 #[test_case("hold", 79, 3, 5 ; "for instances, by a member of a failover pair")]
-#[test_case("hold-none", 80, 0, 0 ; "that only ask")]
+#[test_case("hold-none", 80, 0, 0 ; "that only query")]
 fn load_requests_have_the_recorded_bytes(name: &str, call_id: u64, instances: u32, epoch: u64) {
     let load_request = LoadRequestMessage {
         function: "ledger-1",
--- a/crates/tidewall-gateway/tests/replication_records.rs
+++ b/crates/tidewall-gateway/tests/replication_records.rs
@@ -1,5 +1,5 @@
-//! The messages of failover: frames recorded before they became types decode and encode to the same bytes; malformed ones
-//! are refused.
+//! Failover messages: frames that were recorded before these types existed decode and encode to the same
+//! bytes; malformed frames are rejected.
 #![allow(clippy::unwrap_used)]
 #[path = "help/frames.rs"]
 mod frames;
@@ -19,7 +19,7 @@
 use tidewall_gateway::ingress::Disposition;
 use tidewall_wire::{kind, Field, Fields, Frame};
 
-/// Name and bytes of each recorded frame.
+/// Returns the name and bytes of each recorded frame.
 fn recorded() -> Vec<(&'static str, Vec<u8>)> {
     let files = [
         include_str!("../../../tests/oracles/wire/native-frames.hex"),
@@ -42,7 +42,7 @@
     found.expect("it is recorded").1
 }
 
-/// All classes and tenants that recorded frames name.
+/// Returns all classes and tenants that the recorded frames name.
 fn recorded_names() -> (Vec<String>, Vec<String>) {
     let (mut classes, mut tenants) = (BTreeSet::new(), BTreeSet::new());
     for (_, bytes) in recorded() {
@@ -53,8 +53,8 @@
     (classes.into_iter().collect(), tenants.into_iter().collect())
 }
 
-/// Decodes a frame of failover and encodes it again; none for frames of other protocols.
-fn encoded_again(fields: &Fields, names: RecordNames) -> Option<Vec<u8>> {
+/// Decodes a failover frame and encodes it again; none for frames of other protocols.
+fn reencoded(fields: &Fields, names: RecordNames) -> Option<Vec<u8>> {
     let kind = fields.kind().expect("a kind");
     Some(match kind {
         kind::HELLO if fields.text(Field::Role) == Ok(PEER_ROLE) => {
@@ -98,8 +98,8 @@
     let mut frames = 0;
     for (name, bytes) in recorded() {
         let fields = fields(&bytes);
-        if let Some(again) = encoded_again(&fields, names) {
-            assert_eq!(again, bytes, "{name}");
+        if let Some(reencoded_bytes) = reencoded(&fields, names) {
+            assert_eq!(reencoded_bytes, bytes, "{name}");
             kinds.insert(fields.kind().expect("a kind"));
             frames += 1;
         }
@@ -161,7 +161,8 @@
     assert_eq!(record, ReplicationRecord::ResponseRecorded(expected));
 }
 
-/// No recorded run has tenants, or a response while a snapshot is sent: written here field by field, as before.
+/// No recorded run contains tenants, or a response while a snapshot is sent. These frames are written here
+/// field by field, in the same order as before.
 #[test]
 fn forms_that_were_not_recorded_keep_the_order_of_their_fields() {
     let classes = ["check".to_string()];
@@ -254,7 +255,7 @@
 }
 
 #[test_case(kind::TAKEN, |f| f.text(Field::Type, "pay"), "field type: 'pay' is unknown" ; "unknown class")]
-#[test_case(kind::TAKEN, |f| f.whole(Field::Type, 1), "field type is no text" ; "class of another type")]
+#[test_case(kind::TAKEN, |f| f.whole(Field::Type, 1), "field type is no text" ; "class is not text")]
 #[test_case(kind::TAKEN, |f| f.text(Field::Type, "check"), "field id is missing" ; "no id")]
 #[test_case(kind::GONE, |f| f.whole(Field::Place, (1 << 24) + 1), "field place: 16777217 is over 16777216" ; "slot too high")]
 #[test_case(kind::OVER, |f| f, "field launch is missing" ; "no attempt")]
@@ -266,7 +267,7 @@
     assert_eq!(error_of_record(write, kind), expected);
 }
 
-#[test_case(Some("b"), "field name: a is not the other member" ; "a stranger")]
+#[test_case(Some("b"), "field name: a is not the other member" ; "not the configured peer")]
 #[test_case(None, "field role: no pair here" ; "failover is not configured")]
 fn greetings_of_others_are_refused(expected: Option<&str>, problem: &str) {
     let greeting = PeerGreeting {
@@ -289,13 +290,13 @@
         classes: &classes,
         tenants: &tenants,
     };
-    let mut chance = ChaCha8Rng::seed_from_u64(4);
+    let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut refused = 0;
     for (_, bytes) in recorded() {
         for _ in 0..200 {
             let mut damaged = bytes[4..].to_vec();
-            let at = chance.random_range(0..damaged.len());
-            damaged[at] = chance.random();
+            let at = rng.random_range(0..damaged.len());
+            damaged[at] = rng.random();
             let Ok(fields) = Fields::read(&damaged) else {
                 continue;
             };
--- a/crates/tidewall-gateway/tests/scripted_peers/faults.rs
+++ b/crates/tidewall-gateway/tests/scripted_peers/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that the review found in the gateway, each caused again: an attempt that is sent too late, a stop with bytes unsent,
-//! state changed by half a frame.
+//! Regressions of faults that a review found in the gateway, such as an attempt that is sent too late, an
+//! exit with unsent bytes, and state changed by an incomplete frame.
 use crate::peers::*;
 use std::io;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -12,20 +12,21 @@
 use tidewall_net::{Net, Time};
 use tidewall_wire::{kind, Entries, Field, Frame};
 
-fn bare(kind: u64) -> Vec<u8> {
+fn empty_frame(kind: u64) -> Vec<u8> {
     let mut out = Vec::new();
     Frame::new(&mut out, kind).end();
     out
 }
 
-/// The attempt's timer was cancelled with the first part: the request of a worker that then said nothing stayed in flight for ever.
+/// The attempt's timer was cancelled at the first part of the response, so a request whose worker then sent
+/// nothing stayed in flight for ever.
 #[test_case(false; "until its client's deadline")]
-#[test_case(true; "until its client leaves")]
-fn a_response_that_stops_half_way_does_not_stay_in_flight(leaves: bool) {
+#[test_case(true; "until its client abandons it")]
+fn a_response_that_stops_half_way_does_not_stay_in_flight(abandons: bool) {
     let mut site = site(&[Behavior::StartsResponse]);
     site.send_requests(1..2, "check", 10_000);
     site.run_for(1_000);
-    if leaves {
+    if abandons {
         let mut out = Vec::new();
         Frame::new(&mut out, kind::LEAVE).whole(Field::Id, 1).end();
         site.send(&out);
@@ -33,7 +34,7 @@
     site.run_for(12_000);
     assert_eq!(
         site.client.response_words(1),
-        if leaves {
+        if abandons {
             vec![]
         } else {
             vec!["dead-lettered"]
@@ -52,14 +53,15 @@
         ),
         (0, 0)
     );
-    // A further request finds all slots usable.
+    // Another request can still be served.
     site.workers[0].behavior = Behavior::Answers;
     site.send_requests(2..3, "check", 10_000);
     site.run_for(11_000);
     assert_eq!(site.client.response_words(2), ["handled"]);
 }
 
-/// Up to a connection's streams of attempts, from each gateway, were sent to a worker that had just said that it is warming up.
+/// After a worker's restart, each gateway sent it as many attempts at once as a connection has streams,
+/// although the worker had just greeted as a new incarnation that was still warming up.
 #[test]
 fn calls_that_waited_for_a_greeting_are_not_sent_to_a_restarted_worker() {
     let mut site = site(&[Behavior::Answers, Behavior::Answers]);
@@ -68,7 +70,7 @@
     for worker in 0..2 {
         site.restart_worker(worker);
     }
-    // The former connections are closed; the next ones are opened for these requests.
+    // The old connections are closed, and new ones are opened for the requests below.
     site.run_for(10);
     site.workers
         .iter_mut()
@@ -84,8 +86,8 @@
     site.assert_all_answered(11..111);
 }
 
-/// A cached list that is so old. By a clock that has jumped it may be an hour: a start before the gateway's own clock began counts
-/// as old as that, so its workers are warming up from then on.
+/// A cached list of this age. If the clock has jumped, the age may be an hour. A start before the gateway's
+/// own clock began counts as that old, so its workers count as warming up from then on.
 struct CachedList(Time);
 
 impl EndpointCache for CachedList {
@@ -132,8 +134,8 @@
     site.discovery.send_list_to_all();
 }
 
-/// Attempts that waited for a greeting, or in the write buffer of a worker that reads slowly, were sent seconds after the worker
-/// was listed as draining.
+/// Attempts that waited for a greeting, or in the write buffer of a worker that reads slowly, were sent
+/// seconds after the endpoint list showed the worker as draining.
 #[test_case(false; "waiting for a greeting")]
 #[test_case(true; "in the write buffer")]
 fn nothing_is_sent_to_a_draining_worker_after_the_grace_period(greeted: bool) {
@@ -173,18 +175,19 @@
         .saturating_sub(first * usize::from(greeted));
     assert!(
         after <= sent,
-        "{after} attempts came, {sent} had left the gateway in time"
+        "{after} attempts arrived, {sent} were sent in time"
     );
     site.assert_all_answered(2..22);
 }
 
-/// A list that was made before the discovery server noticed reactivated a worker that had said itself that it is draining.
+/// A list that was produced before the discovery server noticed reactivated a worker that had itself
+/// reported that it is draining.
 #[test]
 fn a_stale_list_does_not_reactivate_a_draining_worker() {
     let mut site = site(&[Behavior::Answers, Behavior::Answers]);
     site.send_requests(1..11, "check", 20_000);
     site.run_for(20_000);
-    site.workers[0].write_to_all(&bare(kind::DRAINS));
+    site.workers[0].write_to_all(&empty_frame(kind::DRAINS));
     site.run_for(100);
     site.discovery.send_list_to_all();
     site.run_for(30_000);
@@ -193,7 +196,8 @@
     site.run_for(25_000);
     site.assert_all_answered(11..31);
     assert_eq!(site.workers[0].attempts(), 0);
-    // Once the discovery server has noticed, its list holds; and so does that of another incarnation.
+    // Once the discovery server has listed the worker as draining, its later lists apply again; so does a
+    // list with a later incarnation.
     site.discovery.endpoints[0].state = EndpointState::Draining;
     site.discovery.send_list_to_all();
     site.run_for(100);
@@ -205,7 +209,8 @@
     assert!(site.workers[0].attempts() > 0);
 }
 
-/// The first records of a list that is malformed in its middle were taken over by the worker pool, and by nothing else.
+/// The first records of a list that is malformed in the middle were applied by the worker pool, and by
+/// nothing else.
 #[test]
 fn a_list_that_is_malformed_in_its_middle_changes_nothing() {
     let mut site = site(&[Behavior::Answers]);
@@ -228,14 +233,14 @@
     site.run_for(5_000);
     assert!(
         (1..11).all(|id| site.client.response_words(id) == ["handled"]),
-        "the former list holds"
+        "the previous list stays in use"
     );
     assert_eq!(site.gateway.counters().malformed, 1);
 }
 
-/// The process ended when nothing was in flight, with responses still in its write buffers.
-#[test_case(true; "clients that read on get theirs")]
-#[test_case(false; "one that never reads does not delay the end for ever")]
+/// The process ended as soon as nothing was in flight, with responses still in its write buffers.
+#[test_case(true; "clients that resume reading get their responses")]
+#[test_case(false; "a client that never reads does not delay the exit for ever")]
 fn draining_ends_when_responses_have_been_read(reads: bool) {
     let mut site = site(&[Behavior::AnswersBytes(100_000)]);
     site.pause_client_reading(true);
@@ -250,7 +255,7 @@
     );
     site.gateway.drain();
     site.run_for(1_000);
-    assert!(!site.gateway_net.dead(), "a part of them has not left");
+    assert!(!site.gateway_net.dead(), "some responses are still unsent");
     if reads {
         site.pause_client_reading(false);
         site.run_for(1_000);
@@ -258,12 +263,13 @@
     } else {
         site.run_for(60_000);
     }
-    assert!(site.gateway_net.dead(), "it has ended");
+    assert!(site.gateway_net.dead(), "the gateway has exited");
 }
 
-/// All gateways of a site lost the discovery server at one moment, and retried again and again at the same ones.
+/// All gateways of a site lost the discovery server at the same moment, and kept retrying at the same
+/// moments.
 #[test]
-fn discovery_retries_of_gateways_do_not_line_up() {
+fn discovery_retries_of_gateways_are_not_synchronised() {
     let sites = (0..20).map(|seed| {
         let mut site = site_seeded(
             &[Behavior::Answers],
@@ -282,23 +288,23 @@
     });
     let mut at: Vec<Time> = sites.flatten().collect();
     at.sort_unstable();
-    let most = at
+    let max_simultaneous = at
         .chunk_by(|a, b| a.abs_diff(*b) == 0)
         .map(<[_]>::len)
         .max()
         .unwrap();
-    // All retry at once when it goes; not so from then on.
+    // All gateways retry simultaneously when the server goes away, but not afterwards.
     assert!(
-        at.len() > 100 && most <= 10,
-        "{most} of 20 gateways in one millisecond, {} in all",
+        at.len() > 100 && max_simultaneous <= 10,
+        "{max_simultaneous} of 20 gateways in one millisecond, {} in all",
         at.len()
     );
 }
 
-/// Nothing follows from a part of an answer but that the attempt may have been executed.
-#[test_case("check", "deferred", 3; "an idempotent one is retried")]
-#[test_case("issue", "dead-lettered", 1; "a non-idempotent one is not")]
-fn an_answer_cut_at_any_byte_counts_as_maybe_executed(
+/// From an incomplete answer the gateway may conclude only that the attempt may have been executed.
+#[test_case("check", "deferred", 3; "an idempotent request is retried")]
+#[test_case("issue", "dead-lettered", 1; "a non-idempotent request is not retried")]
+fn an_answer_truncated_at_any_byte_counts_as_possibly_executed(
     class: &str,
     word: &str,
     max_attempts: usize,
@@ -336,9 +342,9 @@
     }
 }
 
-/// A part of a request is none, and the gateway forgets it with its connection.
+/// An incomplete request is not admitted, and the gateway discards it with its connection.
 #[test]
-fn a_request_cut_at_any_byte_is_not_admitted() {
+fn a_request_truncated_at_any_byte_is_not_admitted() {
     let mut out = Vec::new();
     write_request(&mut out, 1, "check", 20_000, b"payload");
     for bytes in 0..out.len() {
@@ -358,11 +364,12 @@
     }
 }
 
-/// No worker has or can load the function: the client hears that at once, with Retry-After, not when its deadline has passed.
+/// No worker has the function or can load it: the client is told early, with Retry-After, and not only when
+/// its deadline has passed.
 #[test_case("check"; "idempotent")]
 #[test_case("record"; "with an idempotency key")]
 #[test_case("issue"; "non-idempotent")]
-fn a_request_without_hope_is_rejected_early_by_the_native_ingress(class: &str) {
+fn a_request_that_no_worker_can_serve_is_rejected_early_by_the_native_ingress(class: &str) {
     let mut site = site(&[]);
     site.send_requests(1..6, class, 20_000);
     let sent_at = site.gateway_net.now();
@@ -373,12 +380,12 @@
             response.word == "deferred" && response.retry_after > 0,
             "{response:?}"
         );
-        // An eighth of the latency objective, and a sweep.
+        // An eighth of the latency objective, plus one sweep.
         assert!(response.received_at <= sent_at + 625 + 110, "{response:?}");
     }
 }
 
-/// A disk that passes on what it wrote, fails at first, and takes its time.
+/// A disk that reports what was written, fails a number of times first, and is slow.
 struct Disk {
     failures: usize,
     delay: Duration,
@@ -413,9 +420,9 @@
     }
 }
 
-/// A write that took seconds stalled the gateway, and requests in flight passed their deadlines meanwhile.
+/// A write that took seconds stalled the gateway, and requests in flight passed their deadlines.
 #[test]
-fn a_slow_disk_delays_nobody_and_has_the_last_list_at_the_end() {
+fn a_slow_disk_blocks_no_write_and_has_the_last_list_after_the_drop() {
     let (slow, written) = disk(0, 700);
     let mut cache = BackgroundEndpointCache::new(slow);
     let started_at = Instant::now();
@@ -425,7 +432,8 @@
     assert_eq!(written.iter().last(), Some(vec![4]));
 }
 
-/// A list that a full disk did not take was not written when space came back, until the next change.
+/// A list that a full disk had rejected was not written when space was available again, until the next
+/// change.
 #[test]
 fn a_disk_that_was_full_gets_the_list_when_it_has_space() {
     let (full, written) = disk(1, 0);
@@ -437,7 +445,8 @@
     );
 }
 
-/// Both used the same temporary file, and took each other's list.
+/// Two caches whose files differ only in their extension used the same temporary file, and overwrote each
+/// other's list.
 #[test]
 fn cache_files_of_one_stem_do_not_share_a_temporary_file() {
     let folder = tempfile::tempdir().unwrap();
@@ -452,7 +461,8 @@
     }
 }
 
-/// A cached list, or a key file, that is cut, damaged or foreign is not used; a line says why.
+/// A cached list or a key file that is truncated, damaged or of another format is rejected with a one-line
+/// message.
 #[test]
 fn damaged_files_are_rejected() {
     let whole = tidewall_gateway::endpoints::encode(&[endpoint(0), endpoint(1)]);
--- a/crates/tidewall-gateway/tests/scripted_peers/hard.rs
+++ b/crates/tidewall-gateway/tests/scripted_peers/hard.rs
@@ -1,5 +1,5 @@
-//! Hard cases, each caused: whatever peers and network do, each admitted request gets its one response in time and nobody else
-//! notices.
+//! Hard cases, each provoked deterministically: whatever peers and network do, each admitted request gets
+//! its one response in time and other requests are not affected.
 use crate::peers::*;
 use std::fs;
 use test_case::test_case;
@@ -18,7 +18,7 @@
     site.send_requests(1..101, "check", 20_000);
     site.run_for(25_000);
     site.assert_all_answered(1..101);
-    // The scheduler may reject some of so many at once; none is lost on the way.
+    // The scheduler may reject some of so many simultaneous requests, but none is lost.
     let counts = site.gateway.counters();
     assert!(
         counts.completed > 20 && counts.completed + counts.rejected == 100,
@@ -64,9 +64,10 @@
     site.assert_all_answered(1..2);
 }
 
-/// Clients leave at every moment between attempt and answer, so that cancellation and answer cross on the way.
+/// The client abandons its requests at different moments between attempt and answer, so that cancellation
+/// and answer cross on the network.
 #[test]
-fn a_cancellation_that_crosses_the_answer_leaves_nothing_behind() {
+fn a_cancellation_that_crosses_the_answer_leaves_no_call_in_flight() {
     let mut site = site(&[Behavior::AnswersAfter(5)]);
     for id in 1..40 {
         site.send_requests(id..id + 1, "check", 20_000);
@@ -89,7 +90,7 @@
     assert_eq!(counts.abandoned + counts.completed, 39);
     assert!(
         counts.abandoned > 0 && counts.completed > 0,
-        "each came first at times"
+        "each came first in some runs"
     );
 }
 
@@ -99,8 +100,8 @@
     site.send_requests(1..200, "issue", 20_000);
     site.run_for(30_000);
     site.assert_all_answered(1..200);
-    // One whose deadline passes while its attempt waits for the connection fails: the scheduler cannot know that nothing was
-    // sent.
+    // A request whose deadline passes while its attempt waits for the connection fails: the scheduler
+    // cannot know that nothing was sent.
     let counts = site.gateway.counters();
     assert!(
         counts.rejected > 150 && counts.rejected + counts.failed == 199,
@@ -109,7 +110,8 @@
     assert_eq!(site.attempts(), 0);
 }
 
-/// The worker greets, then stops reading: the bytes that fit were sent, the rest provably was not executed.
+/// The worker greets, then stops reading. Attempts whose bytes fit into the buffers were sent; the others
+/// certainly were not executed.
 #[test]
 fn attempts_that_a_full_buffer_held_back_are_rejected() {
     let mut site = site(&[Behavior::Nothing]);
@@ -132,7 +134,7 @@
         .count();
     assert!(
         (1..98).contains(&rejected),
-        "{rejected} were proven not executed"
+        "{rejected} were proven to be unexecuted"
     );
 }
 
@@ -147,9 +149,10 @@
     assert!((1..501).all(|id| site.client.response_words(id) == ["deferred"]));
 }
 
-/// What lies in the sockets when it goes on counts as received in time; elapsed times across the stall are no evidence.
+/// Input that is in the sockets when the gateway resumes counts as received in time, and elapsed times
+/// across the stall are not counted against workers.
 #[test]
-fn a_stall_of_the_gateway_is_no_evidence_about_workers() {
+fn a_stall_of_the_gateway_is_not_counted_against_workers() {
     let mut site = site(&[Behavior::AnswersAfter(50), Behavior::AnswersAfter(50)]);
     site.send_requests(1..6, "check", 20_000);
     site.run_for(20);
@@ -161,11 +164,12 @@
     site.assert_all_answered(1..11);
     assert!(
         (1..11).all(|id| site.client.response_words(id) == ["handled"]),
-        "no worker was ejected for it"
+        "no worker was ejected because of the stall"
     );
 }
 
-/// The remaining time is less than the stall, so it may be over already; or so little more that neither a response nor silence
+/// The first request's remaining time is shorter than the stall, so it may have expired already. The second
+/// one's is less than four times the stall, so too little of it is certain: neither a response nor silence
 /// would be right for long.
 #[test]
 fn a_request_that_may_have_waited_past_its_deadline_is_refused() {
@@ -189,8 +193,9 @@
     assert_eq!(site.gateway.counters().admitted, 1);
 }
 
-/// A request of 2 s that may have lain unread for 0.3 s, behind a second stall that ends 0.1 s after the time that is certain.
-fn behind_two_stalls(leaves: bool) -> Site {
+/// A request with 2 s left that may have been unread for 0.3 s, followed by a second stall that ends 0.1 s
+/// after the time that is certain.
+fn site_after_two_stalls(abandons: bool) -> Site {
     let mut site = site(&[Behavior::Nothing]);
     site.gateway_net.still(true);
     site.run_for(2_900);
@@ -201,7 +206,7 @@
     assert_eq!(site.gateway.counters().admitted, 1);
     site.gateway_net.still(true);
     site.run_for(17_900);
-    if leaves {
+    if abandons {
         let mut leave = Vec::new();
         Frame::new(&mut leave, kind::LEAVE)
             .whole(Field::Id, 1)
@@ -214,22 +219,23 @@
     site
 }
 
-/// Guards against silence while the client still waits: nothing but its own word says that it does not.
+/// Guards against silence while the client still waits: only the client itself can report that it stopped
+/// waiting.
 #[test]
-fn a_request_that_lay_unread_is_answered_behind_a_second_stall() {
-    let site = behind_two_stalls(false);
+fn a_request_that_was_unread_is_answered_after_a_second_stall() {
+    let site = site_after_two_stalls(false);
     assert_eq!(site.client.response_words(1).len(), 1);
 }
 
-/// Guards against a response to a client that has said meanwhile that it leaves.
+/// Guards against a response to a client that reported meanwhile that it abandoned the request.
 #[test]
-fn a_client_that_left_in_a_stall_is_sent_nothing() {
-    let site = behind_two_stalls(true);
+fn a_client_that_abandons_its_request_during_a_stall_is_sent_nothing() {
+    let site = site_after_two_stalls(true);
     assert!(site.client.response_words(1).is_empty());
 }
 
 #[test]
-fn the_last_list_holds_while_discovery_is_unreachable() {
+fn the_last_endpoint_list_stays_in_use_while_discovery_is_unreachable() {
     let mut site = site(&[Behavior::Answers]);
     site.discovery.net.kill();
     for id in 1..61 {
@@ -238,7 +244,7 @@
     }
     assert!(
         (1..61).all(|id| site.client.response_words(id) == ["handled"]),
-        "the last list holds"
+        "the last list stays in use"
     );
 }
 
@@ -252,7 +258,7 @@
     assert_eq!(
         site.attempts(),
         0,
-        "nothing is sent to one that answers by another name"
+        "nothing is sent to a worker that greets with another name"
     );
     site.assert_all_answered(1..21);
     site.discovery.endpoints.swap(0, 1);
@@ -263,7 +269,7 @@
     site.discovery.endpoints[0].address = endpoint(1).address;
     site.discovery.endpoints[1].address = endpoint(0).address;
     site.discovery.send_list_to_all();
-    // Workers that were ejected for it are tried again within seconds.
+    // Workers that were ejected because of this are tried again within seconds.
     site.run_for(100_000);
     site.send_requests(21..41, "issue", 20_000);
     site.run_for(30_000);
@@ -271,7 +277,7 @@
 }
 
 #[test_case(&[0xff, 0xff, 0xff, 0xff], "length" ; "a frame of 4 GiB announced")]
-#[test_case(&[0, 0, 0, 2, 0xa1, 0], "kind" ; "a frame cut short within")]
+#[test_case(&[0, 0, 0, 2, 0xa1, 0], "kind" ; "a frame with a truncated field")]
 #[test_case(&[0, 0, 0, 3, 0xa1, 0, 20], "kind: 20" ; "a kind that is not for a gateway")]
 fn a_malformed_frame_ends_its_connection_only(bytes: &[u8], reason: &str) {
     let mut site = site(&[Behavior::AnswersAfter(1_000)]);
@@ -299,7 +305,7 @@
 }
 
 #[test]
-fn half_a_frame_holds_up_its_own_connection_only() {
+fn an_incomplete_frame_delays_only_its_own_connection() {
     let mut site = site(&[Behavior::Answers]);
     let other = site.client.connect();
     site.run_for(100);
@@ -329,8 +335,8 @@
     );
 }
 
-#[test_case("check", "handled", 2 ; "an idempotent one is retried at the other")]
-#[test_case("issue", "dead-lettered", 1 ; "a non-idempotent one is not")]
+#[test_case("check", "handled", 2 ; "an idempotent request is retried on the other worker")]
+#[test_case("issue", "dead-lettered", 1 ; "a non-idempotent request is not retried")]
 fn an_attempt_lost_with_its_worker_is_retried_where_it_is_idempotent(
     class: &str,
     word: &str,
@@ -354,7 +360,7 @@
     );
 }
 
-/// A kill in the middle of writing leaves half a temporary file beside the old one.
+/// A kill during a write leaves an incomplete temporary file beside the old file.
 #[test]
 fn a_kill_while_the_cache_is_written_leaves_the_former_list() {
     let folder = std::env::temp_dir().join(format!("tidewall-list-{}", std::process::id()));
@@ -367,7 +373,10 @@
     for cut in 0..new.len() {
         fs::write(folder.join("g0.list.new"), &new[..cut]).unwrap();
         assert_eq!(cache.read().unwrap().unwrap().0, old);
-        assert!(decode(&new[..cut], 0).is_err(), "a torn list is not used");
+        assert!(
+            decode(&new[..cut], 0).is_err(),
+            "a truncated list is not used"
+        );
     }
     let mut site = site_with(
         &[Behavior::Answers],
--- a/crates/tidewall-gateway/tests/scripted_peers/main.rs
+++ b/crates/tidewall-gateway/tests/scripted_peers/main.rs
@@ -1,4 +1,4 @@
-//! A gateway among scripted peers: hard cases, and faults that were found.
+//! A gateway among scripted peers: hard cases, and regressions of faults that were found.
 #![allow(clippy::unwrap_used)]
 mod faults;
 mod hard;
