--- a/crates/tidewall-gateway/src/worker_connections.rs
+++ b/crates/tidewall-gateway/src/worker_connections.rs
@@ -161,7 +161,7 @@
         let withdrawn = pool.take_withdrawn_workers();
         for (key, generation) in pool.unsent_calls(&withdrawn) {
             let call = self.context.scheduler.host.calls.get(key);
-            // Its key may name another call by now.
+            // The key may belong to another call by now.
             if call.is_some_and(|call| call.generation == generation) {
                 self.call_ended(key, Outcome::Discarded, 0);
                 self.context.scheduler.host.remove_ended_call(key);
--- a/crates/tidewall-gateway/src/worker_pool/connections.rs
+++ b/crates/tidewall-gateway/src/worker_pool/connections.rs
@@ -285,14 +285,14 @@
         let (keep_alive, silence) = (self.limits.keep_alive, self.limits.silence_timeout);
         self.connections_where(|connection| {
             let removed = self.workers[connection.worker].endpoint.state == EndpointState::Removed;
-            let quiet =
+            let is_silent =
                 now > connection.last_used + silence && now > connection.last_received + silence;
             if connection.is_idle() {
-                return now > connection.last_used + keep_alive || removed && quiet;
+                return now > connection.last_used + keep_alive || removed && is_silent;
             }
             let abandoned = connection.waiting.is_empty()
                 && connection.sent.iter().all(|key| self.calls[*key].ended);
-            abandoned && quiet
+            abandoned && is_silent
         })
     }
 
