--- a/crates/tidewall-failover/src/deduplication.rs
+++ b/crates/tidewall-failover/src/deduplication.rs
@@ -1,8 +1,8 @@
-//! The deduplication table: what became of the requests with an idempotency key. A request is in flight at this member,
-//! in flight at the other one, or has a response that is given again to whoever repeats it.
+//! The deduplication table: the state of each request with an idempotency key. A request is in flight at this
+//! member, is in flight at the other one, or has a response, which is sent again in reply to a repeat.
 //!
-//! The table is bounded by count and by time. Entries live in a slab; the hash index holds their slots and no keys of its
-//! own.
+//! The table is bounded by entry count and by time. Entries are stored in a slab; the hash index stores only
+//! their slots, so that each key is stored once.
 
 use crate::Time;
 use hashbrown::HashTable;
@@ -11,38 +11,39 @@
 use std::collections::VecDeque;
 use std::hash::Hasher;
 
-/// Responses that are kept at most: at a thousand requests a second, four minutes' worth.
+/// The maximum number of stored responses: about four minutes' worth at a thousand requests per second.
 pub const MAX_ENTRIES: usize = 262_144;
 
-/// Where a request with an idempotency key is.
+/// Where a request with an idempotency key is in flight, or its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestLocation {
     /// In flight at this member, in this slot of its requests.
     Local(usize),
-    /// In flight at the other member, in this slot of the replicated requests.
+    /// In flight at the other member, in this slot of the requests replicated from there.
     Remote(usize),
     /// Completed, rejected or failed.
     Responded {
-        /// The caller's number of the disposition.
+        /// The disposition, as a number defined by the caller.
         disposition: u8,
-        /// What the response carried.
+        /// The payload of the response.
         payload: Box<[u8]>,
     },
 }
 
-/// One request of the table.
+/// A request in the deduplication table.
 pub struct DeduplicationEntry {
     /// The request class; the same key in two classes names two requests.
     pub class: usize,
     /// Never empty.
     pub idempotency_key: Box<[u8]>,
-    /// Where the request is.
+    /// Where the request is in flight, or its response.
     pub location: RequestLocation,
-    /// Differs after each change, so that the expiry of a former response does not remove a newer one.
+    /// Changes with each update of the entry, so that the expiry of an earlier response does not remove a
+    /// later one.
     generation: u64,
 }
 
-/// When a response is removed, unless its entry changed meanwhile.
+/// When to remove a response; ignored if its entry has changed since, as its generation then differs.
 struct Expiry {
     at: Time,
     slot: usize,
@@ -52,10 +53,10 @@
 /// Requests by class and idempotency key.
 #[derive(Default)]
 pub struct DeduplicationTable {
-    /// Slots of `entries`, by the hash of class and key.
+    /// Maps the hash of class and key to a slot of `entries`.
     index: HashTable<usize>,
     entries: Slab<DeduplicationEntry>,
-    /// In the order in which the responses were recorded.
+    /// The expiries in the order in which the responses were recorded.
     expiries: VecDeque<Expiry>,
     last_generation: u64,
 }
@@ -78,7 +79,7 @@
             .copied()
     }
 
-    /// Where this request is, as far as it is known.
+    /// Returns where this request is in flight, or its response; `None` if the table has no entry for it.
     pub fn lookup(
         &mut self,
         now: Time,
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Records that the request is in flight, here or at the other member. A request without a key is not recorded.
+    /// Records that the request is in flight, at this or the other member. A request without a key is not
+    /// recorded.
     pub fn insert_in_flight(
         &mut self,
         class: usize,
@@ -132,7 +134,8 @@
         slot
     }
 
-    /// Records the response, to be given again until `expires_at`. A request without a key is not recorded.
+    /// Records the response, which answers repeats until `expires_at`. A request without a key is not
+    /// recorded.
     pub fn record_response(
         &mut self,
         now: Time,
@@ -158,14 +161,15 @@
         self.remove_expired(now);
     }
 
-    /// Forgets the request: whoever repeats it starts it anew.
+    /// Removes the request: a repeat of it is then treated as a new request.
     pub fn remove(&mut self, class: usize, idempotency_key: &[u8]) {
         if let Some(slot) = self.slot(class, idempotency_key) {
             self.remove_slot(slot);
         }
     }
 
-    /// Whether one more request may be admitted: no response is dropped before its time, or its repeat would run again.
+    /// Whether one more request may be admitted. A full table refuses new requests rather than dropping a
+    /// response before it expires, because a repeat of that request would be executed again.
     pub fn has_capacity(&self) -> bool {
         self.expiries.len() < MAX_ENTRIES
     }
@@ -179,13 +183,14 @@
         }
     }
 
-    /// The first entry at or after a slot, with its own slot, in the order of slots: a cursor that stays valid while the
-    /// table changes.
+    /// Returns the first entry at or after `slot`, and the slot of that entry. Iterating by slot stays valid
+    /// while the table changes.
     pub fn next_entry_from(&self, slot: usize) -> Option<(usize, &DeduplicationEntry)> {
         (slot..self.entries.capacity()).find_map(|slot| Some((slot, self.entries.get(slot)?)))
     }
 
-    /// Removes responses and what is in flight at the other member; what is in flight here stays.
+    /// Removes all responses and all requests in flight at the other member, and keeps the requests in flight
+    /// at this one.
     pub fn retain_local(&mut self) {
         for slot in 0..self.entries.capacity() {
             let entry = self.entries.get(slot);
@@ -196,12 +201,12 @@
         self.expiries.clear();
     }
 
-    /// The number of entries, in flight or answered.
+    /// The number of entries: requests in flight and responses.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether the table has no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/tidewall-failover/src/load_request_limit.rs
+++ b/crates/tidewall-failover/src/load_request_limit.rs
@@ -1,11 +1,13 @@
-//! The rate limit of load requests (orders to a worker to load a function), across a takeover: what the former active
-//! member requested and received within the window counts for the new one as well, or each takeover would bring a fresh
-//! allowance. The scheduler has a limit of its own; this one only refuses.
+//! The rate limit of load requests (requests to a worker to load a function), continued across a takeover:
+//! load requests sent and client requests received by the former active member within the window count for
+//! the new one as well. Otherwise each takeover would grant a full new allowance. The scheduler applies its
+//! own limit; this one only refuses load requests that exceed it.
 
 use crate::Time;
 use std::collections::VecDeque;
 
-/// A sliding-window limit: so many load requests are free, and so many more for each client request received.
+/// A sliding-window limit: a base allowance of load requests, plus an allowance for each client request
+/// received.
 pub struct LoadRequestLimiter {
     window: Time,
     base_allowance: f64,
@@ -15,8 +17,8 @@
 }
 
 impl LoadRequestLimiter {
-    /// Within `window` there may be `base_allowance` load requests plus `allowance_per_request` for each client request.
-    /// A window of 0 disables the limit.
+    /// Within `window` there may be `base_allowance` load requests plus `allowance_per_request` for each
+    /// client request. A window of 0 disables the limit.
     pub fn new(
         window: Time,
         base_allowance: f64,
@@ -50,12 +52,13 @@
         }
     }
 
-    /// Uncounts the last client request: one that the other member received, and counted, before this one took it over.
+    /// Removes the last client request from the count: this member took it over from the other one, and it
+    /// was already counted when the other one received it.
     pub fn undo_last_request(&mut self) {
         self.requests.pop_back();
     }
 
-    /// Counts a load request, of this member or of the other one.
+    /// Counts a load request sent by this or the other member.
     pub fn load_requested(&mut self, now: Time) {
         if self.window > 0 {
             self.remove_expired(now);
--- a/crates/tidewall-failover/src/proposal.rs
+++ b/crates/tidewall-failover/src/proposal.rs
@@ -1,79 +1,83 @@
-//! How a member is granted leadership: one round of the Paxos proposer of `tidewall-lease`, whose acceptors, the voters,
-//! are workers named in the settings. This module decides what may be proposed: the proposer learns of any leadership that
-//! a majority may have accepted before, and of the incarnations that hold all state in flight.
+//! How a member obtains leadership: by one round of the Paxos proposer of `tidewall-lease`. Its acceptors are
+//! the voters, which are workers named in the settings. This module decides what may be proposed: the voters'
+//! replies tell the proposer of any leadership that a majority may have accepted before, and of the
+//! incarnations that hold all state in flight.
 
 use crate::leadership::{Leadership, LeadershipAcceptor};
 use tidewall_lease::proposer::{BallotOwner, ProposalRule, ProposerRound, RoundOutcome};
 
 pub use tidewall_lease::proposer::{ProposalPhase, ProposerTransport, ReplyTo};
 
-/// Why leadership is proposed.
+/// The purpose of a leadership proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// To serve instead of the other member.
+    /// Start serving instead of the other member.
     TakeOver,
-    /// To go on serving, with another set of synchronised incarnations.
+    /// Continue serving, with a different set of synchronised incarnations.
     Renew,
 }
 
-/// How a proposal ended.
+/// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// A majority of voters accepted it.
+    /// A majority of voters accepted this leadership.
     Granted(Leadership),
-    /// This incarnation does not hold all state in flight, and one that does may come back.
+    /// This incarnation does not hold all state in flight, and an incarnation that does may reconnect.
     OutOfSync,
     /// The other member serves, or may serve.
     Superseded,
-    /// Too few voters could be reached, or they promised a higher ballot.
+    /// Too few voters could be reached, or too many promised a higher ballot.
     NoMajority,
-    /// The voters know an incarnation of this member with a higher number: this one has to start again above it, or what is
-    /// kept of that one would be taken for what this one knows.
-    Outnumbered,
+    /// The voters know an incarnation of this member with a higher number. This process has to restart with a
+    /// number above it, or the state recorded for that incarnation would be attributed to this one.
+    StaleIncarnation,
 }
 
-/// What to propose, besides the epoch.
+/// The contents of a proposal, except its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProposalRequest {
-    /// Why it is proposed.
+    /// Whether leadership is to be taken over or renewed.
     pub purpose: Purpose,
-    /// The incarnation of the other member, where it holds all state in flight as well. Its calls stay valid then; `None`
-    /// fences them.
+    /// The incarnation of the other member, if it holds all state in flight as well; its calls then stay
+    /// valid. `None` fences its calls.
     pub synced_peer: Option<u64>,
 }
 
 impl ProposalRequest {
-    /// To go on serving without the other member, whose calls are fenced.
+    /// Continues serving without the other member, whose calls are fenced.
     pub const RENEW_ALONE: ProposalRequest = ProposalRequest {
         purpose: Purpose::Renew,
         synced_peer: None,
     };
 }
 
-/// The lower bits of a ballot: the member, and so much of its incarnation that incarnations (milliseconds) a few hours
-/// apart differ.
+/// The number of lower bits of a ballot that identify its proposer: one for the member, the others for the
+/// lowest bits of its incarnation, which is a time in milliseconds. They are enough to distinguish
+/// incarnations up to a few hours apart.
 const OWNER_BITS: u32 = 24;
 
-/// The round of an epoch: its number without the bits that name who proposed it. Logs and `tidewall status` show this.
+/// The round number of an epoch, without the bits that identify its proposer. Logs and `tidewall status` show
+/// it.
 pub fn epoch_number(epoch: u64) -> u64 {
     epoch >> OWNER_BITS
 }
 
-/// The number of the next incarnation: the wall clock in milliseconds, but above `last`, the number before in this process.
-/// Two incarnations within one millisecond, or across a clock that was set back, would use the same ballots.
+/// Returns the number of the next incarnation: `clock`, the wall clock in milliseconds, or `last + 1` if that
+/// is higher, where `last` is the previous number in this process. Otherwise two incarnations that start
+/// within one millisecond, or before and after the clock is set back, could use the same ballots.
 pub fn next_incarnation(last: u64, clock: u64) -> u64 {
     clock.max(last + 1)
 }
 
-/// Decides what may be proposed, by what the voters accepted before.
+/// Decides what may be proposed, depending on what the voters accepted before.
 struct LeadershipRule {
     member: usize,
     incarnation: u64,
     request: Option<ProposalRequest>,
-    /// Incarnations of the other member up to this one ended.
+    /// All incarnations of the other member up to this number have ended.
     ended_peer_incarnation: u64,
     lost_state: bool,
-    /// The highest incarnation of this member that voters know.
+    /// The highest incarnation of this member that the voters know, including the current one.
     newest_own_incarnation: u64,
 }
 
@@ -100,37 +104,39 @@
         }
     }
 
-    /// Whether a proposal is under way.
+    /// Whether a proposal is in progress.
     pub fn is_proposing(&self) -> bool {
         self.round.in_progress()
     }
 
-    /// Abandons the proposal under way; replies to it are ignored.
+    /// Abandons the proposal in progress; late replies to it are ignored.
     pub fn abandon(&mut self) {
         self.round.stop();
     }
 
-    /// Incarnations of the other member up to this one ended, so nobody waits for the state that they held.
+    /// Records that all incarnations of the other member up to this one have ended. The state that they held
+    /// is gone, so a takeover does not wait for it.
     pub fn peer_incarnation_ended(&mut self, incarnation: u64) {
         self.rule.ended_peer_incarnation = self.rule.ended_peer_incarnation.max(incarnation);
     }
 
-    /// The highest incarnation of this member that voters know, its own included.
+    /// The highest incarnation of this member that the voters know, including the current one.
     pub fn newest_own_incarnation(&self) -> u64 {
         self.rule.newest_own_incarnation
     }
 
-    /// Whether the incarnations that held all state in flight ended: what they had in flight is on no record.
+    /// Whether the incarnations that held all state in flight have ended, so that no record of their requests
+    /// in flight is left.
     pub fn has_lost_state(&self) -> bool {
         self.rule.lost_state
     }
 
-    /// All state in flight is held here again, or its loss was reported.
+    /// Clears the lost-state flag: this member holds all state in flight again, or has reported the loss.
     pub fn lost_state_handled(&mut self) {
         self.rule.lost_state = false;
     }
 
-    /// Starts a proposal with a new ballot and abandons the one under way.
+    /// Starts a proposal under a new ballot and abandons the one in progress.
     pub fn propose(
         &mut self,
         transport: &mut impl ProposerTransport<Leadership>,
@@ -140,7 +146,8 @@
         self.round.begin(transport);
     }
 
-    /// A voter's reply to the request `reply_to`: whether it agreed, and what it stores. Returns the outcome once it is certain.
+    /// Handles a voter's reply to the request `reply_to`: whether the voter agreed, and the state that it
+    /// stores. Returns the outcome once it is decided.
     pub fn vote_received(
         &mut self,
         transport: &mut impl ProposerTransport<Leadership>,
@@ -154,7 +161,8 @@
             .map(proposal_outcome)
     }
 
-    /// A voter cannot be reached, or did not reply to the request `reply_to`. Returns the outcome once it is certain.
+    /// Handles a voter that cannot be reached or did not reply to the request `reply_to`. Returns the outcome
+    /// once it is decided.
     pub fn vote_missing(
         &mut self,
         transport: &mut impl ProposerTransport<Leadership>,
@@ -190,10 +198,11 @@
             let known_incarnation = governing.synced_incarnations[self.member];
             self.newest_own_incarnation = self.newest_own_incarnation.max(known_incarnation);
             if known_incarnation > self.incarnation {
-                return Err(ProposalOutcome::Outnumbered);
+                return Err(ProposalOutcome::StaleIncarnation);
             }
-            self.check(request.purpose, governing)?;
-            // It stays set: a proposal of our own that few voters accepted would look as if this incarnation held all state.
+            self.check_succession(request.purpose, governing)?;
+            // Once set, the flag stays: if a minority of voters accepted an earlier proposal of this
+            // incarnation, the governing leadership would wrongly list it as holding all state.
             self.lost_state |= governing.synced_incarnations[self.member] != self.incarnation;
         }
         let mut synced_incarnations = [0; 2];
@@ -213,14 +222,19 @@
 }
 
 impl LeadershipRule {
-    /// Whether this incarnation may follow the leadership that a majority may have accepted last.
-    fn check(&self, purpose: Purpose, governing: Leadership) -> Result<(), ProposalOutcome> {
+    /// Checks whether this incarnation may succeed the leadership that a majority may have accepted last.
+    fn check_succession(
+        &self,
+        purpose: Purpose,
+        governing: Leadership,
+    ) -> Result<(), ProposalOutcome> {
         let synced = governing.synced_incarnations[self.member] == self.incarnation;
         match purpose {
             Purpose::Renew if governing.member == self.member && synced => Ok(()),
             Purpose::Renew => Err(ProposalOutcome::Superseded),
             Purpose::TakeOver if synced => Ok(()),
-            // All incarnations that held the state ended: nothing is left to lose.
+            // Every incarnation that held the state has ended, so waiting for one of them would recover
+            // nothing.
             Purpose::TakeOver
                 if governing.synced_incarnations[1 - self.member]
                     <= self.ended_peer_incarnation =>
--- a/crates/tidewall-failover/src/recovery.rs
+++ b/crates/tidewall-failover/src/recovery.rs
@@ -1,16 +1,17 @@
-//! What a new active member does with a request that the former one had in flight: by whether it may be repeated, by the
-//! time that is left, and by what is proven of its attempts.
+//! Decides what a new active member does with each request that the former one had in flight. The decision
+//! depends on whether the request may be repeated, on the time left until its deadline, and on what is known
+//! about its attempts.
 
 use crate::Time;
 
 /// Whether a request may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Executing it twice does no harm.
+    /// Executing it more than once is harmless.
     Idempotent,
-    /// A repeat with the same idempotency key is dropped by whoever executes it.
+    /// The executing side drops a repeat with the same idempotency key.
     IdempotencyKey {
-        /// Whether repeats are dropped everywhere, or within one group of workers only.
+        /// Whether repeats are dropped across all workers, or only within one worker group.
         global: bool,
         /// How long after an attempt its repeats are dropped.
         window: Time,
@@ -20,7 +21,8 @@
 }
 
 impl RetrySafety {
-    /// Whether a repeat does no harm anywhere: then its response need not wait until the other member recorded it.
+    /// Whether a repeat is harmless on every worker. Responses to such requests are sent without waiting
+    /// until the other member has recorded them.
     pub fn is_safe_to_repeat(self) -> bool {
         matches!(
             self,
@@ -29,61 +31,67 @@
     }
 }
 
-/// What is proven of an attempt.
+/// What is known about the execution of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Sent, and no outcome is known.
+    /// It was sent, and no outcome is known.
     InFlight,
-    /// It was never executed.
+    /// It was provably not executed.
     NotExecuted,
-    /// It ended, and may have been executed.
+    /// It ended and may have been executed.
     MayHaveExecuted,
 }
 
 /// One attempt of the former active member to execute a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The index of the worker that it was sent to.
+    /// The index of the worker to which it was sent.
     pub worker: usize,
     /// When it was sent.
     pub sent_at: Time,
-    /// What is proven of it.
+    /// What is known about its execution.
     pub state: AttemptState,
 }
 
-/// What to do with a request that the former active member had in flight.
+/// How to proceed with a request that the former active member had in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// Schedule it as if it had just been received.
+    /// Schedule it like a request that was just received.
     Continue,
-    /// Wait until the worker of its attempt is fenced: the attempt may still be in flight, and hedging is not allowed.
+    /// Wait until the worker of its attempt is fenced: the attempt may still be in flight there, and two
+    /// concurrent attempts (hedging) are not allowed.
     AwaitFencing,
-    /// Fail it: it may have been executed, and must not be repeated.
+    /// Report it as failed: it may have been executed, and the client must not repeat it.
     Fail,
-    /// Reject it: nothing was executed, so the client may retry.
+    /// Reject it: no attempt was executed, so the client may retry.
     Reject,
 }
 
-/// What to do with a repeated request of which no member has a record: the incarnations that had one ended.
+/// How to proceed with a repeated request of which no member has a record, because the incarnations that had
+/// one ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnrecordedRetryAction {
     /// Schedule it as a new request.
     Schedule,
-    /// Reject it for now: an attempt may still be in flight at a worker that is not fenced.
+    /// Reject it; the client may retry later. An attempt may still be in flight at a worker that is not
+    /// fenced.
     Reject,
-    /// Fail it: it may have been executed, and must not be repeated.
+    /// Report it as failed: it may have been executed, and the client must not repeat it.
     Fail,
 }
 
-/// With less than this left, no attempt would return in time: twice the least latency that a busy machine shows.
+/// If no more than this is left until a request's deadline, no attempt is expected to return in time: twice
+/// the lowest latency on a busy machine.
 pub const MIN_REMAINING_TIME: Time = 100;
 
-/// How long a leadership proposal takes at most on a busy machine: a tick and two round trips to the voters.
+/// The maximum duration of a leadership proposal on a busy machine: one tick and two round trips to the
+/// voters.
 pub const PROPOSAL_TIME: Time = 10 * MIN_REMAINING_TIME;
 
-/// When the link to the other member is to be given up for a response that began to wait for its record at `since`, so that the
-/// voters can still be asked before its client stops waiting at `deadline`. An acknowledgement that is only somewhat late gets
-/// `usual_wait` or a quarter of the time that is left, whichever is shorter.
+/// Returns when to give up the link to the other member because of a response that has waited since `since`
+/// for the other member to acknowledge its record. A leadership proposal to the voters then still ends before
+/// the client stops waiting at `deadline`. The acknowledgement is given at least `usual_wait` or a quarter of
+/// the time left at `since`, whichever is shorter, so that a slightly late one does not break the link.
 pub fn give_up_link_at(since: Time, deadline: Time, usual_wait: Time) -> Time {
     let shortest_wait = usual_wait.min(deadline.saturating_sub(since) / 4);
     deadline
@@ -91,10 +99,11 @@
         .max(since + shortest_wait)
 }
 
-/// When a response that began to wait for its record at `since` is given up, for a client that stops waiting at `deadline`;
-/// nothing may be sent to it after `latest`. The client is told a failure then: that is true whatever the other member
-/// knows, as a failed request may have been executed and is not to be repeated. What is left for the response's way is as
-/// much as an attempt needs, but an acknowledgement gets at least a quarter of the time until `latest`.
+/// Returns when to stop waiting for the acknowledgement of a response's record. The response has waited since
+/// `since`, its client stops waiting at `deadline`, and nothing may be sent to the client after `latest`. The
+/// client then gets a failure, which is correct whatever the other member has recorded: a failed request may
+/// have been executed and must not be repeated. [`MIN_REMAINING_TIME`] is reserved for sending the failure,
+/// but the acknowledgement is given at least a quarter of the time until `latest`.
 pub fn give_up_record_at(since: Time, deadline: Time, latest: Time) -> Time {
     let shortest_wait = latest.saturating_sub(since) / 4;
     deadline
@@ -102,9 +111,10 @@
         .max(since + shortest_wait)
 }
 
-/// Until when a client waits that sent a request again, by what is known: until `earliest` for certain, where anything is, and
-/// until `latest` at most, as the retry lay unread for a while. `in_flight` is the deadline of the request that it repeats: the
-/// same client's, which is certain, unless it is later than `latest`.
+/// Estimates until when a client waits that repeated a request. The retry was read some time after it
+/// arrived, so its own deadline is uncertain: the client waits at least until `earliest`, if that is known,
+/// and at most until `latest`. `in_flight` is the deadline of the request that it repeats. That deadline
+/// comes from the same client and is therefore certain, unless it is later than `latest`.
 pub fn retry_deadline(earliest: Option<Time>, latest: Time, in_flight: Time) -> Time {
     match earliest {
         Some(earliest) if in_flight > latest => earliest,
@@ -113,9 +123,10 @@
     }
 }
 
-/// How much earlier than its client's deadline a request of a pair is to end. A response may wait until the voters know
-/// that the other member is gone: `peer_timeout` of silence on the link, then a leadership proposal. At most a quarter of
-/// the `remaining` time; 0 where a repeat does no harm, as nothing waits then.
+/// Returns how much earlier than its client's deadline a request of a pair has to end. Its response may have
+/// to wait until the voters know that the other member is gone: for `peer_timeout` of silence on the link and
+/// then for a leadership proposal. The margin is at most a quarter of the `remaining` time, and 0 if a repeat
+/// is harmless, as such a response does not wait.
 pub fn deadline_margin(retry_safety: RetrySafety, remaining: Time, peer_timeout: Time) -> Time {
     if retry_safety.is_safe_to_repeat() {
         return 0;
@@ -123,8 +134,8 @@
     (peer_timeout + PROPOSAL_TIME).min(remaining / 4)
 }
 
-/// Decides on a repeated request of which no member has a record. `all_fenced`: no attempt of an ended incarnation is in
-/// flight at any worker.
+/// Decides how to proceed with a repeated request of which no member has a record. `all_fenced`: no attempt
+/// of an ended incarnation is in flight at any worker.
 pub fn unrecorded_retry_action(
     retry_safety: RetrySafety,
     allows_hedging: bool,
@@ -139,14 +150,16 @@
     }
 }
 
-/// Whether a takeover fails a request, however much time is left: an attempt that is on record may have been executed, and
-/// a repeat may do harm. Such a failure need not be on record before it is reported.
+/// Whether a takeover fails a request however much time is left: a recorded attempt may have been executed,
+/// and a repeat may be harmful. A failure of such a request may be reported before it is recorded, as a
+/// takeover would report it too.
 pub fn fails_at_takeover(retry_safety: RetrySafety, may_have_executed: bool) -> bool {
     may_have_executed && !retry_safety.is_safe_to_repeat()
 }
 
-/// Decides on a request that the former active member had in flight, with its `attempts`, to be answered by `deadline`.
-/// `is_fenced` says of a worker whether none of the former member's attempts is in flight there any more.
+/// Decides how to proceed with a request that the former active member had in flight, given its `attempts`
+/// and its `deadline`. `is_fenced` returns whether a worker no longer executes any attempt of the former
+/// active member.
 pub fn recovery_action(
     retry_safety: RetrySafety,
     allows_hedging: bool,
@@ -172,7 +185,7 @@
         return RecoveryAction::Fail;
     }
     if let RetrySafety::IdempotencyKey { window, .. } = retry_safety {
-        // A repeat would arrive when its key is no longer remembered.
+        // A repeat could arrive after the worker has dropped its key, and would be executed again.
         if unproven().any(|attempt| now + MIN_REMAINING_TIME >= attempt.sent_at + window) {
             return RecoveryAction::Fail;
         }
--- a/crates/tidewall-failover/src/role/events.rs
+++ b/crates/tidewall-failover/src/role/events.rs
@@ -1,5 +1,5 @@
-//! The events of the role state machine that are no replies of voters: its timer, VRRP, the link to the other member, and
-//! the end of the process.
+//! The events of the role state machine other than voters' replies: its timer, VRRP, the link to the other
+//! member, and the shutdown of the process.
 
 use super::peer::PeerStatus;
 use super::{
@@ -8,12 +8,12 @@
 use crate::proposal::{ProposalRequest, Purpose};
 use crate::Time;
 
-/// Why a process restarts that serves under an older epoch than the other member.
+/// The restart reason of a member that serves under an older epoch than the other one.
 const SUPERSEDED: &str = "the other member serves under a newer epoch";
 
-// The timer.
+// Timer events.
 impl RoleStateMachine {
-    /// Time passed. Called at least twice in an advertisement interval.
+    /// Handles the timer, which fires at least twice in an advertisement interval.
     pub fn tick(&mut self, now: Time, actions: &mut impl RoleActions) {
         match self.role {
             Role::Standby => self.tick_standby(now, actions),
@@ -44,13 +44,14 @@
     }
 
     fn tick_standby(&mut self, now: Time, actions: &mut impl RoleActions) {
-        let peer_does_not_count_us =
-            self.peer.connected && self.peer.serves && !self.peer.counts_us_synced;
+        let peer_reports_us_unsynced =
+            self.peer.connected && self.peer.serves && !self.peer.reports_us_synced;
         if !self.vrrp_enabled && self.is_eligible(now) {
             self.vrrp_enabled = true;
             actions.set_vrrp_enabled(true);
-        } else if self.vrrp_enabled && peer_does_not_count_us {
-            // As VRRP's Active router it would ask a member to step down that does not count it as synchronised.
+        } else if self.vrrp_enabled && peer_reports_us_unsynced {
+            // As VRRP's Active router this member would ask the serving one to step down although the voters
+            // do not count this one as synchronised.
             self.disable_vrrp(actions);
         } else if self.vrrp_active
             && self.peer_will_not_serve(now)
@@ -65,9 +66,9 @@
     }
 }
 
-// VRRP.
+// VRRP events.
 impl RoleStateMachine {
-    /// VRRP: this member owns the addresses.
+    /// Handles VRRP's Active state: this member owns the addresses.
     pub fn vrrp_became_active(&mut self, now: Time, actions: &mut impl RoleActions) {
         self.vrrp_active = true;
         if self.role != Role::Standby {
@@ -81,11 +82,13 @@
         }
     }
 
-    /// VRRP: this member does not own the addresses. Whoever serves goes on until it is asked to step down.
+    /// Handles VRRP's Backup state: this member does not own the addresses. If it serves, it continues until
+    /// the other member asks it to step down.
     pub fn vrrp_became_backup(&mut self, now: Time) {
         self.vrrp_active = false;
         let pending = matches!(self.role, Role::RequestingStepDown | Role::Proposing);
-        // Where the other member stepped down in our favour the proposal goes on, or nobody would serve.
+        // If the other member has stepped down in favour of this one, the proposal continues; otherwise
+        // neither would serve.
         if pending && !self.peer_stepped_down {
             self.proposer.abandon();
             self.enter(now, Role::Standby);
@@ -93,9 +96,10 @@
     }
 }
 
-// The link to the other member.
+// Events of the link to the other member.
 impl RoleStateMachine {
-    /// The link is established, and the other member reported its incarnation, whether it serves, and its epoch.
+    /// Handles an established link, on which the other member reported its incarnation, whether it serves,
+    /// and its epoch.
     pub fn peer_connected(
         &mut self,
         now: Time,
@@ -110,36 +114,41 @@
             connected: true,
             incarnation,
             serves,
-            counts_us_synced: false,
+            reports_us_synced: false,
         };
         if self.is_superseded_by(serves, epoch) {
             return self.restart(now, actions, SUPERSEDED);
         }
         if serves && self.role == Role::Draining {
-            return self.restart(now, actions, "the other member went on without us");
+            return self.restart(
+                now,
+                actions,
+                "the other member took over before this one had drained",
+            );
         }
         if self.role == Role::Solo {
             self.start_or_defer_replication(now, actions);
         }
     }
 
-    /// The link is about to be closed: what waits for the other member has waited too long.
+    /// Handles a link that is about to be closed because acknowledgements of the other member took too long.
     pub fn peer_too_slow(&mut self, now: Time) {
         self.replication.hold_off(now);
     }
 
-    /// The other member's heartbeat: whether it serves, whether the voters count us as synchronised with it, its epoch.
+    /// Handles the other member's heartbeat: whether it serves, whether it reports that the voters count this
+    /// member as synchronised, and its epoch.
     pub fn peer_heartbeat(
         &mut self,
         now: Time,
         actions: &mut impl RoleActions,
         serves: bool,
-        counts_us_synced: bool,
+        reports_us_synced: bool,
         epoch: u64,
     ) {
-        (self.peer.serves, self.peer.counts_us_synced) = (serves, counts_us_synced);
-        if counts_us_synced {
-            // All state in flight came from a member that serves.
+        (self.peer.serves, self.peer.reports_us_synced) = (serves, reports_us_synced);
+        if reports_us_synced {
+            // The replica received from a serving member holds all state in flight.
             self.proposer.lost_state_handled();
         }
         if self.is_superseded_by(serves, epoch) {
@@ -151,7 +160,7 @@
         peer_serves && self.role.serves() && peer_epoch > self.granted.epoch
     }
 
-    /// The link broke.
+    /// Handles a broken link.
     pub fn peer_disconnected(&mut self, now: Time, actions: &mut impl RoleActions) {
         self.peer.connected = false;
         match self.role {
@@ -160,7 +169,8 @@
                 self.proposer.propose(actions, ProposalRequest::RENEW_ALONE);
             }
             Role::RequestingStepDown => self.take_over(now, actions),
-            // It stepped down; whether it has ended by now the voters' replies show.
+            // The other member stepped down and may have ended since; the voters' replies show whether this
+            // one may serve.
             Role::Proposing if self.peer_stepped_down => {
                 self.peer_stepped_down = false;
                 self.take_over(now, actions);
@@ -169,7 +179,7 @@
         }
     }
 
-    /// The other member asks this one to step down.
+    /// Handles the other member's request to step down.
     pub fn step_down_requested(&mut self, now: Time, actions: &mut impl RoleActions) {
         if self.role == Role::Replicating {
             self.proposer.abandon();
@@ -179,16 +189,18 @@
         }
     }
 
-    /// The other member has stepped down; all that it received is in the replica here.
+    /// Handles the other member's confirmation that it has stepped down; the replica holds every request that
+    /// it received.
     pub fn peer_stepped_down(&mut self, now: Time, actions: &mut impl RoleActions) {
-        // In Standby too, where this member no longer wants to serve: nobody else does.
+        // Also in Standby, when this member no longer tries to take over: otherwise neither member would
+        // serve.
         if matches!(self.role, Role::RequestingStepDown | Role::Standby) {
             self.peer_stepped_down = true;
             self.take_over(now, actions);
         }
     }
 
-    /// The other member recorded the snapshot and the updates up to now.
+    /// Handles the other member's acknowledgement of the snapshot and of the updates sent up to its end.
     pub fn snapshot_acknowledged(&mut self, now: Time, actions: &mut impl RoleActions) {
         if self.role == Role::Solo && self.peer.connected {
             self.enter(now, Role::Synchronizing);
@@ -196,7 +208,8 @@
         }
     }
 
-    /// The other member also recorded what was under way when calls and responses began to wait for it.
+    /// Handles the other member's acknowledgement of all updates sent before calls and responses began to
+    /// wait for it.
     pub fn replication_caught_up(&mut self, actions: &mut impl RoleActions) {
         if self.role == Role::Synchronizing && !self.proposer.is_proposing() {
             let request = ProposalRequest {
@@ -208,10 +221,10 @@
     }
 }
 
-// The end of the process.
+// Shutdown of the process.
 impl RoleStateMachine {
-    /// A shutdown was requested: the other member takes over where it can. False where it cannot: the process ends as a
-    /// gateway without a standby would.
+    /// Handles a requested shutdown. Returns whether the other member can take over; if it cannot, the
+    /// process ends like a gateway without a standby.
     pub fn shutdown_requested(&mut self, now: Time, actions: &mut impl RoleActions) -> bool {
         self.shutdown_requested_at = Some(now);
         self.disable_vrrp(actions);
@@ -226,7 +239,7 @@
         }
     }
 
-    /// Nothing is in flight.
+    /// Handles the end of the last request in flight.
     pub fn drained(&mut self, now: Time, actions: &mut impl RoleActions) {
         if self.role == Role::Draining && !self.proposer.is_proposing() {
             self.enter(now, Role::Standby);
--- a/crates/tidewall-failover/src/role/peer.rs
+++ b/crates/tidewall-failover/src/role/peer.rs
@@ -1,29 +1,30 @@
-//! What is known of the other member, and when its link may be relied on.
+//! The known status of the other member, and when its link may be used for replication.
 
 use crate::flap_damping::FlapDamping;
 use crate::Time;
 
-/// The other member, by its link and its last heartbeat.
+/// The status of the other member, from its link and its last heartbeat.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerStatus {
     pub(super) connected: bool,
     pub(super) incarnation: u64,
     pub(super) serves: bool,
-    /// It reports that the voters count us as synchronised.
-    pub(super) counts_us_synced: bool,
+    /// It reports that the voters count this member as synchronised.
+    pub(super) reports_us_synced: bool,
 }
 
-/// The first hold-off of a slow link and the longest one, in advertisement intervals: one second to half a minute at the
-/// usual interval of a tenth of a second. Short against the repair of a link, long against a snapshot.
+/// The initial and the maximum hold-off of a slow link, in advertisement intervals: one second and half a
+/// minute at the usual interval of a tenth of a second. That is much shorter than the repair of a link takes,
+/// and much longer than a snapshot takes.
 const INITIAL_HOLD_OFF_INTERVALS: Time = 10;
 const MAX_HOLD_OFF_INTERVALS: Time = 300;
 
-/// When to replicate: a link that was too slow is not used for a while, or each new snapshot would slow down what clients
-/// wait for.
+/// Decides when replication may start. A link that was too slow is not used for a while; otherwise each new
+/// snapshot on it would delay the responses that clients wait for.
 pub(super) struct ReplicationGate {
     damping: FlapDamping,
     held_off_until: Time,
-    /// A snapshot is to be sent once the hold-off ends.
+    /// A snapshot has to be sent when the hold-off ends.
     deferred: bool,
 }
 
@@ -43,13 +44,13 @@
         self.held_off_until = self.damping.next_hold_off(now);
     }
 
-    /// Whether replication may start at once; otherwise it is deferred.
+    /// Returns whether replication may start at once; otherwise it is deferred.
     pub(super) fn start_or_defer(&mut self, now: Time) -> bool {
         self.deferred = now < self.held_off_until;
         !self.deferred
     }
 
-    /// Whether a deferred replication is due.
+    /// Whether replication was deferred and the hold-off has ended.
     pub(super) fn is_due(&self, now: Time) -> bool {
         self.deferred && now >= self.held_off_until
     }
--- a/crates/tidewall-failover/src/role/state.rs
+++ b/crates/tidewall-failover/src/role/state.rs
@@ -1,24 +1,26 @@
-//! The roles of a member, and their names on the status page.
+//! The roles of a member, and the names under which `tidewall status` shows them.
 
-/// What a member does at present.
+/// The role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Does not serve; holds a replica where the other member serves.
+    /// Does not serve; holds a replica if the other member serves.
     Standby,
-    /// VRRP made it active while the other member serves; that one was asked to step down.
+    /// VRRP made this member active while the other one serves; the other one was asked to step down.
     RequestingStepDown,
     /// Proposes its leadership to the voters.
     Proposing,
-    /// Serves alone: nothing waits for the other member.
+    /// Serves alone: calls and responses do not wait for the other member.
     Solo,
-    /// Serves; the other member holds a replica, and the voters are not informed of it yet. Calls and responses wait
-    /// until the other member recorded them.
+    /// Serves; the other member holds a replica, but the voters have not accepted it as synchronised yet.
+    /// Calls and responses wait until the other member has recorded them.
     Synchronizing,
-    /// Serves; the voters count the other member as synchronised. Calls and responses wait as above.
+    /// Serves; the voters count the other member as synchronised. Calls and responses wait until the other
+    /// member has recorded them.
     Replicating,
-    /// Serves; the other member is gone and the voters are not informed of it yet. Calls and responses wait.
+    /// Serves; the other member is lost, but the voters have not accepted a leadership without it yet. Calls
+    /// and responses wait until they have.
     PeerLost,
-    /// Has stepped down; what it received before is completed.
+    /// Has stepped down; completes the requests that it received before.
     Draining,
     /// The process is about to restart.
     Stopped,
@@ -38,7 +40,7 @@
         Role::Stopped,
     ];
 
-    /// The name that `tidewall status` prints. Operators' pages use it, so it stays as it is.
+    /// The name that `tidewall status` prints. It is part of the operator documentation and must not change.
     pub fn text(self) -> &'static str {
         match self {
             Role::Standby => "standby",
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Whether new requests are received in this role.
+    /// Whether a member in this role accepts new requests.
     pub fn serves(self) -> bool {
         matches!(
             self,
--- a/crates/tidewall-failover/src/role/votes.rs
+++ b/crates/tidewall-failover/src/role/votes.rs
@@ -1,20 +1,21 @@
-//! The proposals of the role state machine, and how their outcomes change the role.
+//! The replies to the role state machine's proposals, and the role changes that their outcomes cause.
 
 use super::{Role, RoleActions, RoleStateMachine, PROPOSAL_RETRY_INTERVALS};
 use crate::leadership::{Leadership, LeadershipAcceptor};
 use crate::proposal::{ProposalOutcome, ProposalRequest, Purpose, ReplyTo};
 use crate::Time;
 
-/// Why a member restarts whose number is below that of a former incarnation.
-const OUTNUMBERED: &str = "the voters know a later incarnation of this member";
+/// The restart reason of a member whose incarnation number is below that of an earlier incarnation.
+const STALE_INCARNATION: &str = "the voters know a later incarnation of this member";
 
 impl RoleStateMachine {
-    /// The highest incarnation of this member that voters know, its own included.
+    /// The highest incarnation of this member that the voters know, including the current one.
     pub fn newest_own_incarnation(&self) -> u64 {
         self.proposer.newest_own_incarnation()
     }
 
-    /// A worker rejected a call that was sent under our epoch: the voters know whether we still serve.
+    /// Handles a worker's rejection of a call that was sent under this member's epoch: a renewal shows
+    /// whether the voters still accept this member as the one that serves.
     pub fn epoch_rejected(&mut self, actions: &mut impl RoleActions) {
         if self.role.serves() && !self.proposer.is_proposing() {
             let peer = self.peer.incarnation;
@@ -27,7 +28,8 @@
         }
     }
 
-    /// A voter's reply to the request `reply_to`: whether it agreed, and what it stores.
+    /// Handles a voter's reply to the request `reply_to`: whether the voter agreed, and the state that it
+    /// stores.
     pub fn vote_received(
         &mut self,
         now: Time,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// A voter cannot be reached, or did not reply to the request `reply_to`.
+    /// Handles a voter that cannot be reached or did not reply to the request `reply_to`.
     pub fn vote_missing(
         &mut self,
         now: Time,
@@ -69,17 +71,22 @@
             (Role::Proposing | Role::Draining, ProposalOutcome::Granted(leadership)) => {
                 self.leadership_granted(now, actions, leadership)
             }
-            (_, ProposalOutcome::Outnumbered) => self.restart(now, actions, OUTNUMBERED),
+            (_, ProposalOutcome::StaleIncarnation) => self.restart(now, actions, STALE_INCARNATION),
             (Role::Proposing, _) => self.back_off(now, actions),
             (Role::Draining, ProposalOutcome::NoMajority) => self.proposal_retry_at = retry_at,
-            (Role::Draining, _) => self.restart(now, actions, "the other member serves without us"),
+            (Role::Draining, _) => self.restart(
+                now,
+                actions,
+                "the voters accepted that the other member serves alone",
+            ),
             (role, ProposalOutcome::Granted(leadership)) if role.serves() => {
                 self.leadership_renewed(now, actions, leadership)
             }
             (role, ProposalOutcome::NoMajority) if role.serves() => {
                 self.proposal_retry_at = retry_at;
                 if role == Role::Synchronizing {
-                    // Counts anew what the other member has to record: once that is done, the proposal is made again.
+                    // Restarts the wait for the other member's acknowledgements; when it has caught up again,
+                    // the proposal is repeated.
                     actions.set_replication_wait(true);
                 }
             }
--- a/crates/tidewall-failover/tests/flap_damping.rs
+++ b/crates/tidewall-failover/tests/flap_damping.rs
@@ -1,4 +1,4 @@
-//! The backoff of a member that keeps losing leadership.
+//! The backoff of a member that repeatedly loses leadership.
 use tidewall_failover::flap_damping::FlapDamping;
 
 #[test]
--- a/crates/tidewall-failover/tests/leadership_proposals.rs
+++ b/crates/tidewall-failover/tests/leadership_proposals.rs
@@ -1,5 +1,6 @@
-//! Leadership that a majority of voters grants: what may be proposed, and that no order of messages, losses and restarts
-//! lets an incarnation serve that does not hold all state without knowing that it does not.
+//! Leadership proposals to the voters: which proposals are allowed. A randomized simulation checks that no
+//! order of messages, losses and restarts lets an incarnation that does not hold all state serve without
+//! reporting the lost state.
 mod support;
 
 use rand::{Rng, SeedableRng};
@@ -32,11 +33,11 @@
     }
 }
 
-/// These voters reply; those beyond, up to `all`, cannot be reached.
+/// Runs a proposal to `voter_count` voters: those in `voters` reply, the others cannot be reached.
 fn propose(
     proposer: &mut LeadershipProposer,
     voters: &mut [LeadershipAcceptor],
-    all: usize,
+    voter_count: usize,
     request: ProposalRequest,
 ) -> Option<ProposalOutcome> {
     let mut transport = SentRequests::default();
@@ -53,11 +54,11 @@
         };
         outcome = outcome.or(ended);
     }
-    assert_eq!(all, 3);
+    assert_eq!(voter_count, 3);
     outcome
 }
 
-/// The synchronised incarnations and the number of the epoch, where it was granted.
+/// The synchronised incarnations and the epoch number of a granted leadership; `None` for any other outcome.
 fn granted(outcome: Option<ProposalOutcome>) -> Option<([u64; 2], u64)> {
     match outcome {
         Some(ProposalOutcome::Granted(leadership)) => Some((
@@ -130,7 +131,7 @@
         accepted: leadership,
     };
     assert_eq!(acceptor.permits(member, epoch), permitted);
-    // The floor is below the epoch: the other member completes its calls in flight.
+    // The fencing floor is below the epoch, so the other member may complete its calls in flight.
     assert!(!acceptor.must_abort(member));
 }
 
@@ -140,7 +141,7 @@
     assert!(acceptor.must_abort(1) && !acceptor.must_abort(0));
 }
 
-/// A request to a voter, or its reply, under way.
+/// A request to a voter, or the voter's reply, in transit.
 #[derive(Clone, Copy, PartialEq)]
 struct Message {
     from: usize,
@@ -149,11 +150,12 @@
     reply: Option<Reply>,
 }
 
-/// Three voters, and two members that propose, lose, repeat and reorder messages, end and start again.
-struct World {
+/// A simulation of three voters and of two members that propose and restart, on a network that loses, repeats
+/// and reorders messages.
+struct Simulation {
     random: ChaCha8Rng,
-    /// Planted: voters lose their state before each request.
-    voters_forget: bool,
+    /// Fault injection: voters lose their state before each request.
+    voters_lose_state: bool,
     voters: [LeadershipAcceptor; 3],
     incarnations: [u64; 2],
     proposers: Vec<LeadershipProposer>,
@@ -161,16 +163,16 @@
     /// The newest leadership that was granted.
     last_granted: Option<Leadership>,
     serves: [bool; 2],
-    /// Incarnations that hold all state in flight.
+    /// By member: its incarnation that holds all state in flight.
     synced: [u64; 2],
     violations: usize,
 }
 
-impl World {
-    fn new(seed: u64, voters_forget: bool) -> World {
-        World {
+impl Simulation {
+    fn new(seed: u64, voters_lose_state: bool) -> Simulation {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
-            voters_forget,
+            voters_lose_state,
             voters: [LeadershipAcceptor::default(); 3],
             incarnations: [1, 1],
             proposers: (0..2)
@@ -205,7 +207,8 @@
         let synced_peer =
             (serves && self.random.random_ratio(1, 2)).then_some(self.incarnations[1 - member]);
         if let Some(incarnation) = synced_peer {
-            // It is proposed only of one that holds a replica, and from here on everything waits for that one.
+            // Only an incarnation that holds a replica is proposed as synchronised, and from here on calls
+            // and responses wait for its records.
             self.synced[1 - member] = incarnation;
         }
         let request = ProposalRequest {
@@ -230,7 +233,7 @@
         let message = self.network.swap_remove(at);
         let Some(reply) = message.reply else {
             let voter = &mut self.voters[message.request.voter];
-            if self.voters_forget {
+            if self.voters_lose_state {
                 *voter = LeadershipAcceptor::default();
             }
             let reply = Some(message.request.reply(voter));
@@ -251,7 +254,7 @@
         self.send(message.from, requests);
         match outcome {
             Some(ProposalOutcome::Granted(leadership)) => self.granted(message.from, leadership),
-            // As the gateway does.
+            // The gateway restarts its process in this case as well.
             Some(ProposalOutcome::Superseded) => self.restart(message.from),
             _ => {}
         }
@@ -261,12 +264,12 @@
         let last = self.last_granted;
         let incarnation = self.incarnations[member];
         if let Some(last) = last.filter(|last| last.epoch < leadership.epoch) {
-            // Whoever serves next was synchronised with whoever served last, or knows that it is not.
+            // A new active member must have been synchronised with the last one, or must report lost state.
             let synced = last.synced_incarnations[member] == incarnation
                 || self.synced[member] == incarnation;
             self.violations += usize::from(!synced && !self.proposers[member].has_lost_state());
         }
-        // Two leaders of one epoch.
+        // Two members must never lead under one epoch.
         self.violations += usize::from(last.is_some_and(|last| {
             last.epoch == leadership.epoch && last.member != leadership.member
         }));
@@ -297,27 +300,28 @@
     }
 }
 
-fn violations(seed: u64, voters_forget: bool) -> usize {
-    let mut world = World::new(seed, voters_forget);
-    (0..300).for_each(|_| world.step());
-    world.violations
+fn violations(seed: u64, voters_lose_state: bool) -> usize {
+    let mut simulation = Simulation::new(seed, voters_lose_state);
+    (0..300).for_each(|_| simulation.step());
+    simulation.violations
 }
 
 #[test]
-fn no_order_of_messages_lets_an_incarnation_without_the_state_serve_unawares() {
-    let broken: Vec<u64> = (0..5_000)
+fn no_message_order_lets_an_unsynchronised_incarnation_serve_without_reporting_lost_state() {
+    let failing_seeds: Vec<u64> = (0..5_000)
         .filter(|seed| violations(*seed, false) > 0)
         .collect();
-    assert_eq!(broken, Vec::<u64>::new());
+    assert_eq!(failing_seeds, Vec::<u64>::new());
 }
 
 #[test]
-fn planted_voters_that_forget_are_noticed() {
+fn the_simulation_detects_voters_that_lose_their_state() {
     assert!((0..500).any(|seed| violations(seed, true) > 0));
 }
 
-/// Guards against an incarnation whose clock was set back: what is kept of a former one would be taken for what it knows.
-#[test_case(8, Some(ProposalOutcome::Outnumbered), 8; "a former incarnation had a higher number")]
+/// Guards against an incarnation that starts after the clock was set back: state recorded for an earlier
+/// incarnation with a higher number would be attributed to it.
+#[test_case(8, Some(ProposalOutcome::StaleIncarnation), 8; "a former incarnation had a higher number")]
 #[test_case(6, Some(ProposalOutcome::OutOfSync), 7; "a former incarnation had a lower one")]
 fn an_incarnation_below_a_former_one_is_not_granted(
     former: u64,
--- a/crates/tidewall-failover/tests/load_request_limit.rs
+++ b/crates/tidewall-failover/tests/load_request_limit.rs
@@ -8,12 +8,12 @@
     assert!(!limiter.has_capacity(10));
     (0..2).for_each(|_| limiter.request_received(10));
     assert!(limiter.has_capacity(10));
-    // One that is taken over was counted when it was received.
+    // A request that is taken over was already counted when the other member received it.
     limiter.request_received(10);
     limiter.undo_last_request();
     limiter.load_requested(10);
     assert!(!limiter.has_capacity(20));
-    // The first load request is out of the window, and then the client requests too.
+    // First the load request leaves the window, then the client requests do.
     assert!(limiter.has_capacity(1_000));
     limiter.load_requested(1_000);
     assert!(!limiter.has_capacity(1_009));
--- a/crates/tidewall-failover/tests/recovery.rs
+++ b/crates/tidewall-failover/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new active member does with the requests of the former one.
+//! What a new active member does with the requests in flight of the former one.
 use test_case::test_case;
 use tidewall_failover::recovery::{
     deadline_margin, fails_at_takeover, give_up_link_at, give_up_record_at, recovery_action,
@@ -87,8 +87,8 @@
     );
 }
 
-#[test_case(RetrySafety::Idempotent, 30_000, 0 ; "nothing waits")]
-#[test_case(GROUP_KEY, 30_000, 5_000 ; "silence and a proposal")]
+#[test_case(RetrySafety::Idempotent, 30_000, 0 ; "no response waits")]
+#[test_case(GROUP_KEY, 30_000, 5_000 ; "peer timeout and a proposal")]
 #[test_case(GROUP_KEY, 4_000, 1_000 ; "no more than a quarter")]
 fn a_deadline_is_earlier_by_a_detected_failure_and_a_proposal(
     retry_safety: RetrySafety,
@@ -98,18 +98,18 @@
     assert_eq!(deadline_margin(retry_safety, remaining, 4_000), expected);
 }
 
-/// A response that began to wait at 10,000, and a link that acknowledges within 500 while it is well.
+/// The response has waited since 10,000; a healthy link acknowledges within 500.
 #[test_case(13_000, 12_000; "in time for a proposal")]
-#[test_case(10_900, 10_225; "a quarter of what is left, however short")]
-#[test_case(11_200, 10_300; "the same, shorter than usual")]
-#[test_case(11_500, 10_500; "a late acknowledgement is waited for")]
+#[test_case(10_900, 10_225; "a quarter of the short time left")]
+#[test_case(11_200, 10_300; "a quarter of the time left, less than the usual wait")]
+#[test_case(11_500, 10_500; "the usual wait for a late acknowledgement")]
 #[test_case(9_000, 10_000; "too late already")]
 fn a_link_is_given_up_in_time_for_the_client(deadline: u64, expected: u64) {
     assert_eq!(give_up_link_at(10_000, deadline, 500), expected);
 }
 
-/// A response that began to wait at 10,000, for a client that may be answered up to 250 late.
-#[test_case(40_000, 39_900; "in time for the response's way")]
+/// The response has waited since 10,000, and the client may receive it up to 250 after its deadline.
+#[test_case(40_000, 39_900; "in time to send the response")]
 #[test_case(10_400, 10_300; "with little time left")]
 #[test_case(10_150, 10_100; "an acknowledgement gets a quarter of what is left")]
 #[test_case(10_000, 10_062; "the same behind the deadline")]
@@ -121,7 +121,7 @@
     );
 }
 
-/// A retry whose client waits until 20,000 at most, and for certain until 15,000, if until any time.
+/// The client of the retry waits until 20,000 at most, and in some cases until 15,000 at least.
 #[test_case(Some(15_000), 18_000, 18_000 ; "as long as the client said first")]
 #[test_case(Some(15_000), 14_000, 15_000 ; "at least for the time that is certain")]
 #[test_case(Some(15_000), 25_000, 15_000 ; "another client's deadline tells nothing")]
@@ -132,8 +132,8 @@
     assert_eq!(retry_deadline(earliest, 20_000, in_flight), expected);
 }
 
-/// A failure that is reported before it is on record is one that the other member would report too, whatever it knows of the
-/// attempt's end and however much time is left.
+/// A failure that is reported before it is recorded must be one that the other member would report as well,
+/// whatever it knows about the outcome of the attempt and however much time is left.
 #[test_case(RetrySafety::NonIdempotent, AttemptState::InFlight)]
 #[test_case(RetrySafety::NonIdempotent, AttemptState::MayHaveExecuted)]
 #[test_case(GROUP_KEY, AttemptState::InFlight)]
--- a/crates/tidewall-failover/tests/role_transitions.rs
+++ b/crates/tidewall-failover/tests/role_transitions.rs
@@ -1,4 +1,5 @@
-//! The role state machine: who serves when, and how leadership changes hands.
+//! The transitions of the role state machine: when a member serves, and how leadership passes to the other
+//! member.
 mod support;
 
 use support::{Reply, SentRequests};
@@ -6,7 +7,7 @@
 use tidewall_failover::proposal::ProposerTransport;
 use tidewall_failover::role::{Role, RoleActions, RoleStateMachine};
 
-/// Requests to voters, until they are replied to; and all other actions, a line each.
+/// Stores requests to voters until they are replied to, and records all other actions as one line each.
 #[derive(Default)]
 struct RecordedActions {
     requests: SentRequests,
@@ -73,7 +74,7 @@
 
 const INTERVAL: u64 = 1_000;
 
-/// The voters reply to all requests, and to those that follow from their replies.
+/// Lets the voters reply to all requests, including those that their replies cause.
 fn reply_to_all(
     machine: &mut RoleStateMachine,
     actions: &mut RecordedActions,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Member 0, which serves with the other one synchronised; and its actions since.
+/// Returns member 0, which serves with the other member synchronised, and an empty record of its actions.
 fn replicating(voters: &mut [LeadershipAcceptor]) -> (RoleStateMachine, RecordedActions) {
     let (mut machine, mut actions) = (
         RoleStateMachine::new(0, 7, 3, INTERVAL, 0),
@@ -201,7 +202,7 @@
         (peer.state(), peer.granted.synced_incarnations),
         (Role::Replicating, [7, 9])
     );
-    // The calls of the draining member stay valid.
+    // The calls of the draining member are not fenced.
     assert!(peer.granted.fencing_floor < peer.granted.epoch);
     assert!(peer_actions
         .calls
--- a/crates/tidewall-failover/tests/support/mod.rs
+++ b/crates/tidewall-failover/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Requests to voters as a proposer sends them, and the voters' replies.
+//! A transport that stores the requests of a proposer to voters, and computes the voters' replies.
 use tidewall_failover::leadership::{Leadership, LeadershipAcceptor};
 use tidewall_failover::proposal::{ProposalPhase, ProposerTransport, ReplyTo};
 
-/// A request to a voter: to promise a ballot, or to accept a proposal.
+/// A request to a voter: to promise a ballot (no proposal), or to accept a proposal.
 #[derive(Clone, Copy, PartialEq)]
 pub struct SentRequest {
     pub voter: usize,
@@ -40,7 +40,7 @@
     pub acceptor: LeadershipAcceptor,
 }
 
-/// Keeps requests until a test replies to them.
+/// Stores requests until a test replies to them.
 #[derive(Default)]
 pub struct SentRequests(pub Vec<SentRequest>);
 
