--- a/crates/tidewall-vrrp/src/packet.rs
+++ b/crates/tidewall-vrrp/src/packet.rs
@@ -1,14 +1,15 @@
-//! The octets of an advertisement, and what a receiver checks.
+//! The wire format of an advertisement, and the checks of a receiver.
 //!
-//! The RFC's packet (RFC 9568, 5.1) comes first, in network byte order: version and type, virtual router identifier,
-//! priority, number of addresses, interval, checksum, addresses. A trailer of our own follows:
+//! The RFC's packet (RFC 9568, 5.1) comes first, in network byte order: version and type, virtual router
+//! identifier, priority, number of addresses, interval, checksum, addresses. A trailer that is not part of
+//! the RFC follows:
 //!
 //! | octets | field |
 //! | --- | --- |
 //! | 1 | hop limit, 255 |
 //! | 8 | sequence number |
 //! | 1 | identifier of the key |
-//! | 32 | HMAC-SHA-256 (RFC 2104, FIPS 180-4) of all octets before |
+//! | 32 | HMAC-SHA-256 (RFC 2104, FIPS 180-4) of all preceding octets |
 
 use crate::{Advertisement, MAX_INTERVAL};
 use hmac::{Hmac, Mac};
@@ -20,31 +21,35 @@
 
 const VERSION: u8 = 3;
 
-/// The type of an advertisement, the only one.
+/// The packet type of an advertisement, the only type that VRRP defines.
 const ADVERTISEMENT: u8 = 1;
 
-/// What a packet must arrive with, as it must not have been forwarded (RFC 9568, 5.1.1.3).
+/// The required hop limit of a received packet: a lower one shows that the packet was forwarded (RFC 9568,
+/// 5.1.1.3).
 pub const HOP_LIMIT: u8 = 255;
 
-/// Octets before the addresses, the checksum's place among them, and the octets of an address.
+/// The length of the header before the addresses, the offset of the checksum in it, and the length of an
+/// address, in octets.
 const HEADER_LENGTH: usize = 8;
 const CHECKSUM_OFFSET: usize = 6;
 const ADDRESS_LENGTH: usize = 4;
 
-/// Octets of the trailer: hop limit, sequence number, key identifier, hash.
+/// The lengths of the hash and of the trailer in octets. The trailer consists of hop limit, sequence number,
+/// key identifier and hash.
 const HASH_LENGTH: usize = 32;
 const TRAILER_LENGTH: usize = 1 + 8 + 1 + HASH_LENGTH;
 
-/// Shared secrets with their identifiers. The first one signs, all are accepted, so that they can be changed without a
-/// pause.
+/// Shared secrets with their identifiers. The first one signs sent packets, and all are accepted in received
+/// ones, so that secrets can be rotated without an interruption.
 #[derive(Clone, Default)]
 pub struct Keys(
-    /// Identifier and secret; a secret of any length will do.
+    /// Identifier and secret. A secret may have any length.
     pub Vec<(u8, Vec<u8>)>,
 );
 
 impl Keys {
-    /// The key that signs. Without any key: identifier 0 and an empty secret, which no receiver has.
+    /// The key that signs sent packets. If there is no key, identifier 0 and an empty secret, which no
+    /// receiver has.
     fn signing(&self) -> (u8, &[u8]) {
         let first = self.0.first();
         first.map_or((0, &[][..]), |(id, secret)| (*id, secret))
@@ -56,26 +61,26 @@
     }
 }
 
-/// Why a packet is discarded, by the check that it failed.
+/// The check that a discarded packet failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PacketError {
-    /// Too short for a header and a trailer.
+    /// The packet is too short for a header and a trailer.
     #[error("length: cut short")]
     Truncated,
-    /// Another version of VRRP.
+    /// The VRRP version is not 3.
     #[error("version: not 3")]
     Version,
-    /// Not an advertisement.
-    #[error("type: no advertisement")]
+    /// The packet is not an advertisement.
+    #[error("type: not an advertisement")]
     Type,
-    /// The number of addresses does not fit the length, or is 0.
-    #[error("count: not as many addresses as told")]
+    /// The number of addresses does not match the length of the packet, or is 0.
+    #[error("count: does not match the number of addresses")]
     AddressCount,
     /// The checksum does not match.
     #[error("checksum: wrong")]
     Checksum,
     /// The hop limit is not 255: the packet was forwarded.
-    #[error("hops: it came over more than one link")]
+    #[error("hops: the packet was forwarded")]
     HopLimit,
     /// No key has the packet's key identifier.
     #[error("key: unknown")]
@@ -87,13 +92,13 @@
     #[error("addresses: not those of this virtual router")]
     Addresses,
     /// The sequence number is not above the sender's last one.
-    #[error("number: heard before")]
+    #[error("number: replayed sequence number")]
     Replayed,
     /// The advertisement interval is 0.
     #[error("interval: 0")]
     ZeroInterval,
-    /// The sender is not the configured other router. The hash does not cover the sender, so the owner of the socket checks
-    /// it.
+    /// The sender is not the configured other router. The hash does not cover the sender's address, so the
+    /// owner of the socket checks it.
     #[error("from: not the other member")]
     UnexpectedSender,
 }
@@ -117,18 +122,19 @@
     mac
 }
 
-/// An advertisement as it is sent.
+/// The contents of an advertisement on the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdvertisementPacket<'a> {
     /// The virtual router's identifier.
     pub vrid: u8,
-    /// The sender's priority; 0: it shuts down.
+    /// The sender's priority; 0 if it shuts down.
     pub priority: u8,
-    /// Max Advertise Interval in centiseconds; the lower twelve bits are sent.
+    /// Max Advertise Interval in centiseconds; only the lower twelve bits are sent.
     pub interval: u16,
     /// The virtual addresses, 1 to 255.
     pub addresses: Cow<'a, [Ipv4Addr]>,
-    /// Rises with each packet of a sender, across its restarts too (the time of a wall clock does).
+    /// Rises with each packet of a sender, also across its restarts. A number derived from the wall clock
+    /// does.
     pub sequence: u64,
 }
 
@@ -154,7 +160,7 @@
         out.extend_from_slice(&hash);
     }
 
-    /// Reads a packet after the checks that need no context: form, checksum, hop limit, and the keyed hash.
+    /// Decodes a packet and checks what needs no context: format, checksum, hop limit and keyed hash.
     pub fn decode(bytes: &[u8], keys: &Keys) -> Result<AdvertisementPacket<'static>, PacketError> {
         if bytes.len() < HEADER_LENGTH + TRAILER_LENGTH {
             return Err(PacketError::Truncated);
@@ -181,7 +187,7 @@
             return Err(PacketError::HopLimit);
         }
         let secret = keys.secret(*key).ok_or(PacketError::UnknownKey)?;
-        // Compared in constant time.
+        // `verify_slice` compares in constant time.
         keyed_hash(secret, signed)
             .verify_slice(hash)
             .map_err(|_| PacketError::Hash)?;
@@ -200,7 +206,8 @@
     }
 }
 
-/// Remembers the last sequence number of each sender and virtual router: one that is not higher is a replay.
+/// Stores the last sequence number of each sender and virtual router. A packet whose number is not higher is
+/// a replay.
 #[derive(Default)]
 pub struct ReplayGuard(BTreeMap<(Ipv4Addr, u8), u64>);
 
@@ -215,8 +222,8 @@
     }
 }
 
-/// Decodes a packet `from` a router and checks it (RFC 9568, 7.1) against the virtual router's `addresses` and the sender's
-/// earlier packets. The error names the first check that failed.
+/// Decodes a packet `from` a router and checks it (RFC 9568, 7.1) against the virtual router's `addresses`
+/// and the sender's earlier packets. The error names the first check that failed.
 pub fn receive(
     bytes: &[u8],
     from: Ipv4Addr,
--- a/crates/tidewall-vrrp/src/router.rs
+++ b/crates/tidewall-vrrp/src/router.rs
@@ -20,7 +20,7 @@
 pub enum State {
     /// Not started.
     Initialize,
-    /// Watches the Active router.
+    /// Monitors the Active router's advertisements.
     Backup,
     /// Owns the virtual addresses and advertises.
     Active,
@@ -35,7 +35,7 @@
     pub priority: u8,
     /// Advertisement_Interval in centiseconds, 1 to 4095.
     pub interval: u16,
-    /// Preempt_Mode: whether an Active router of lower priority is replaced.
+    /// Preempt_Mode: whether to replace an Active router of lower priority.
     pub preempt: bool,
     /// Accept_Mode: whether an Active router that is not the owner accepts packets to the virtual addresses.
     pub accept: bool,
@@ -43,7 +43,7 @@
     pub address: Ipv4Addr,
 }
 
-/// A parameter is out of its range.
+/// A parameter is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParameterError {
     /// The virtual router's identifier.
@@ -78,27 +78,27 @@
     }
 }
 
-/// What a virtual router has its owner do. `vrid` identifies the router.
+/// The actions that a virtual router requests from its owner. `vrid` identifies the router.
 pub trait VrrpActions {
-    /// Sends an advertisement; `interval` in centiseconds.
+    /// Sends an advertisement; `interval` is in centiseconds.
     fn advertise(&mut self, vrid: u8, priority: u8, interval: u16);
-    /// Starts the router's only timer, which replaces the one that runs.
+    /// Starts the router's only timer, replacing a running one.
     fn set_timer(&mut self, vrid: u8, delay: Time);
     /// Stops the timer.
     fn cancel_timer(&mut self, vrid: u8);
-    /// This router owns the virtual addresses from now on (on a real link: gratuitous ARP). `accept`: Accept_Mode as
-    /// configured, always true for the owner.
+    /// Takes ownership of the virtual addresses for this router (on a real link: sends gratuitous ARP).
+    /// `accept`: Accept_Mode as configured, always true for the owner of the addresses.
     fn become_active(&mut self, vrid: u8, accept: bool);
-    /// This router no longer owns the virtual addresses.
+    /// Gives up ownership of the virtual addresses.
     fn become_backup(&mut self, vrid: u8);
 }
 
-/// What a received advertisement says.
+/// The contents of a received advertisement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Advertisement {
     /// The virtual router's identifier.
     pub vrid: u8,
-    /// The sender's priority; 0: it shuts down.
+    /// The sender's priority; 0 if it shuts down.
     pub priority: u8,
     /// The sender's advertisement interval in centiseconds.
     pub interval: u16,
@@ -110,12 +110,13 @@
 pub struct Router {
     parameters: Parameters,
     state: State,
-    /// Active_Adver_Interval in centiseconds: the Active router's, and our own until one was received.
+    /// Active_Adver_Interval in centiseconds: the interval that the Active router advertises, or the
+    /// configured one until an advertisement was received.
     active_interval: u16,
 }
 
 impl Router {
-    /// A router in state Initialize, or the first parameter that is out of its range.
+    /// Returns a router in state Initialize, or an error that names the first parameter out of range.
     pub fn new(parameters: Parameters) -> Result<Router, ParameterError> {
         parameters.validate()?;
         Ok(Router {
@@ -125,7 +126,7 @@
         })
     }
 
-    /// The present state.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
@@ -134,12 +135,13 @@
         Time::from(self.active_interval) * CENTISECOND
     }
 
-    /// Skew_Time: the higher the priority, the shorter (RFC 9568, 6.1).
+    /// Skew_Time: shorter for a higher priority (RFC 9568, 6.1).
     pub fn skew_time(&self) -> Time {
         Time::from(256 - u16::from(self.parameters.priority)) * self.active_interval() / 256
     }
 
-    /// Active_Down_Interval: without an advertisement for so long, the Active router is gone (RFC 9568, 6.1).
+    /// Active_Down_Interval: after this time without an advertisement the Active router counts as down (RFC
+    /// 9568, 6.1).
     pub fn active_down_interval(&self) -> Time {
         3 * self.active_interval() + self.skew_time()
     }
@@ -153,13 +155,13 @@
         self.start_advertisement_timer(actions);
     }
 
-    /// Adver_Timer.
+    /// Starts Adver_Timer.
     fn start_advertisement_timer(&self, actions: &mut impl VrrpActions) {
         let interval = Time::from(self.parameters.interval) * CENTISECOND;
         actions.set_timer(self.parameters.vrid, interval);
     }
 
-    /// Active_Down_Timer.
+    /// Starts Active_Down_Timer.
     fn start_active_down_timer(&self, actions: &mut impl VrrpActions) {
         actions.set_timer(self.parameters.vrid, self.active_down_interval());
     }
@@ -177,7 +179,7 @@
         self.state = State::Active;
     }
 
-    /// Startup (RFC 9568, 6.4.1).
+    /// Handles the Startup event (RFC 9568, 6.4.1).
     pub fn startup(&mut self, actions: &mut impl VrrpActions) {
         if self.state != State::Initialize {
             return;
@@ -190,7 +192,7 @@
         self.state = State::Backup;
     }
 
-    /// Shutdown (RFC 9568, 6.4.2 and 6.4.3).
+    /// Handles the Shutdown event (RFC 9568, 6.4.2 and 6.4.3).
     pub fn shutdown(&mut self, actions: &mut impl VrrpActions) {
         let vrid = self.parameters.vrid;
         match std::mem::replace(&mut self.state, State::Initialize) {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// The timer of [`VrrpActions::set_timer`] fired: Active_Down_Timer in Backup, Adver_Timer in Active.
+    /// Handles the timer of [`VrrpActions::set_timer`]: Active_Down_Timer in Backup, Adver_Timer in Active.
     pub fn timer_fired(&mut self, actions: &mut impl VrrpActions) {
         match self.state {
             State::Initialize => {}
@@ -213,7 +215,7 @@
         }
     }
 
-    /// An advertisement for this virtual router that passed all checks of RFC 9568, 7.1.
+    /// Handles an advertisement for this virtual router that passed all checks of RFC 9568, 7.1.
     pub fn advertisement_received(
         &mut self,
         actions: &mut impl VrrpActions,
@@ -233,7 +235,7 @@
             self.active_interval = received.interval;
             self.start_active_down_timer(actions);
         }
-        // One of a lower priority is to be preempted: the timer keeps running.
+        // A sender of lower priority is preempted: Active_Down_Timer keeps running.
     }
 
     fn received_as_active(&mut self, actions: &mut impl VrrpActions, received: Advertisement) {
@@ -248,8 +250,8 @@
             self.start_active_down_timer(actions);
             self.state = State::Backup;
         } else {
-            // At once, also in reply to priority 0, so that of two Active routers one is left after one delay (RFC 9568,
-            // 6.4.3).
+            // Advertised at once, also in reply to priority 0, so that after one network delay only one of
+            // two Active routers is left (RFC 9568, 6.4.3).
             self.advertise_and_restart_timer(actions);
         }
     }
--- a/crates/tidewall-vrrp/tests/packets.rs
+++ b/crates/tidewall-vrrp/tests/packets.rs
@@ -1,4 +1,5 @@
-//! Packets: what is encoded is decoded, and a packet that fails a check of RFC 9568, 7.1, is discarded.
+//! Encoding and decoding of packets: a decoded packet equals the encoded one, and a packet that fails a check
+//! of RFC 9568, 7.1, is discarded.
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::net::Ipv4Addr;
@@ -85,7 +86,7 @@
         receive_next(&packet(6), &keys(2)),
         Err(PacketError::UnknownKey)
     );
-    // Both keys are accepted while they are changed.
+    // During a key rotation both keys are accepted.
     let both = Keys([keys(2).0, keys(1).0].concat());
     assert!(receive_next(&packet(7), &both).is_ok());
     for cut in 0..packet(9).len() {
@@ -124,7 +125,7 @@
         addresses,
         (any::<u8>(), secret),
     );
-    let done = TestRunner::new_with_rng(config, rng).run(
+    let result = TestRunner::new_with_rng(config, rng).run(
         &all,
         |((vrid, priority, sequence), interval, addresses, key)| {
             let packet = AdvertisementPacket {
@@ -142,7 +143,7 @@
             Ok(())
         },
     );
-    done.expect("every packet survives the round trip");
+    result.expect("every packet is decoded as it was encoded");
 }
 
 #[test]
@@ -166,14 +167,17 @@
 
 #[test_case(PacketError::Truncated, "length: cut short")]
 #[test_case(PacketError::Version, "version: not 3")]
-#[test_case(PacketError::Type, "type: no advertisement")]
-#[test_case(PacketError::AddressCount, "count: not as many addresses as told")]
+#[test_case(PacketError::Type, "type: not an advertisement")]
+#[test_case(
+    PacketError::AddressCount,
+    "count: does not match the number of addresses"
+)]
 #[test_case(PacketError::Checksum, "checksum: wrong")]
-#[test_case(PacketError::HopLimit, "hops: it came over more than one link")]
+#[test_case(PacketError::HopLimit, "hops: the packet was forwarded")]
 #[test_case(PacketError::UnknownKey, "key: unknown")]
 #[test_case(PacketError::Hash, "hash: wrong")]
 #[test_case(PacketError::Addresses, "addresses: not those of this virtual router")]
-#[test_case(PacketError::Replayed, "number: heard before")]
+#[test_case(PacketError::Replayed, "number: replayed sequence number")]
 #[test_case(PacketError::ZeroInterval, "interval: 0")]
 #[test_case(PacketError::UnexpectedSender, "from: not the other member")]
 fn the_log_names_the_failed_check(error: PacketError, text: &str) {
--- a/crates/tidewall-vrrp/tests/transitions.rs
+++ b/crates/tidewall-vrrp/tests/transitions.rs
@@ -1,4 +1,5 @@
-//! Each transition of RFC 9568, 6.4, and two routers of which one becomes Active whatever is lost.
+//! Each transition of RFC 9568, 6.4, and two routers on a lossy link of which one is Active after the loss
+//! ends.
 use std::net::Ipv4Addr;
 use test_case::test_case;
 use tidewall_vrrp::{
@@ -68,20 +69,21 @@
     }
 }
 
-/// A second's interval, and the skew of priority 100: 156/256 of it, in tenths of a millisecond.
+/// An advertisement interval of one second, and Skew_Time of priority 100, which is 156/256 of it. The unit
+/// is tenths of a millisecond.
 const SECOND: Time = 10_000;
 const SKEW: Time = 6_093;
 const DOWN: Time = 3 * SECOND + SKEW;
 
 #[test_case(OWNER_PRIORITY, State::Active, &[Call::Advertise(255), Call::BecomeActive(true), Call::SetTimer(SECOND)] ; "6.4.1 startup of the owner")]
-#[test_case(100, State::Backup, &[Call::SetTimer(DOWN)] ; "6.4.1 startup of another")]
+#[test_case(100, State::Backup, &[Call::SetTimer(DOWN)] ; "6.4.1 startup of a router that is not the owner")]
 fn startup_enters_active_only_as_the_owner(priority: u8, state: State, calls: &[Call]) {
     let (mut machine, mut actions) = (router(priority, true, State::Initialize), Calls::default());
     machine.startup(&mut actions);
     assert_eq!((machine.state(), &actions.0[..]), (state, calls));
 }
 
-#[test_case(State::Initialize, &[] ; "before a start")]
+#[test_case(State::Initialize, &[] ; "before startup")]
 #[test_case(State::Backup, &[Call::CancelTimer] ; "6.4.2 of a backup")]
 #[test_case(State::Active, &[Call::CancelTimer, Call::Advertise(SHUTDOWN_PRIORITY), Call::BecomeBackup] ; "6.4.3 of the active router")]
 fn shutdown_enters_initialize(state: State, calls: &[Call]) {
@@ -93,7 +95,7 @@
     );
 }
 
-#[test_case(State::Initialize, State::Initialize, &[] ; "before a start")]
+#[test_case(State::Initialize, State::Initialize, &[] ; "before startup")]
 #[test_case(State::Backup, State::Active, &[Call::Advertise(100), Call::BecomeActive(false), Call::SetTimer(SECOND)] ; "6.4.2 active down timer")]
 #[test_case(State::Active, State::Active, &[Call::Advertise(100), Call::SetTimer(SECOND)] ; "6.4.3 advertisement timer")]
 fn a_timer_makes_a_backup_active_and_an_active_router_advertise(
@@ -118,7 +120,7 @@
     assert_eq!((machine.state(), &actions.0[..]), (State::Backup, calls));
 }
 
-#[test_case(advertisement(SHUTDOWN_PRIORITY, 100, 9), State::Active, &[Call::Advertise(100), Call::SetTimer(SECOND)] ; "6.4.3 another shuts down")]
+#[test_case(advertisement(SHUTDOWN_PRIORITY, 100, 9), State::Active, &[Call::Advertise(100), Call::SetTimer(SECOND)] ; "6.4.3 another router shuts down")]
 #[test_case(advertisement(99, 100, 9), State::Active, &[Call::Advertise(100), Call::SetTimer(SECOND)] ; "6.4.3 lower priority is answered at once")]
 #[test_case(advertisement(100, 100, 4), State::Active, &[Call::Advertise(100), Call::SetTimer(SECOND)] ; "6.4.3 a tie won by address")]
 #[test_case(advertisement(100, 100, 6), State::Backup, &[Call::BecomeBackup, Call::SetTimer(DOWN)] ; "6.4.3 a tie lost by address")]
@@ -155,7 +157,7 @@
     );
 }
 
-/// A router's end of a lossy link.
+/// One router's endpoint of a lossy link.
 struct Link {
     sent: Vec<Advertisement>,
     timer: Option<Time>,
@@ -199,7 +201,7 @@
     }
 }
 
-/// Two routers on a lossy link: after the loss ends one is Active, and it is the one of higher priority.
+/// Two routers on a lossy link: after the loss ends, only the one of higher priority is Active.
 #[test_case(1 ; "seed 1")]
 #[test_case(2 ; "seed 2")]
 #[test_case(3 ; "seed 3")]
@@ -222,7 +224,7 @@
                 random = random
                     .wrapping_mul(6_364_136_223_846_793_005)
                     .wrapping_add(1);
-                // Half of all is lost for the first minute.
+                // For the first minute half of all advertisements are lost.
                 if now > 600_000 || random >> 63 == 0 {
                     let (router, link) = &mut both[1 - i];
                     link.now = now;
