--- a/crates/tidewall-gateway/src/failover/control_messages.rs
+++ b/crates/tidewall-gateway/src/failover/control_messages.rs
@@ -1,16 +1,16 @@
-//! Messages of failover that are no replication records: the greeting between the two gateways, control messages on
-//! their connection, the status that `tidewall status` asks for, and votes of workers. `docs/wire.md` specifies the
-//! frames (kinds 1, 60, 69 to 72 and 80 to 82).
+//! Failover messages other than replication records: the greeting between the two gateways, control messages
+//! on their connection, the status that `tidewall status` requests, and votes of workers. `docs/wire.md`
+//! specifies the frames (kinds 1, 60, 69 to 72 and 80 to 82).
 //!
-//! Encoding appends to a buffer and allocates nothing while that has room. The order of fields and the omission of
-//! default values are part of the format.
+//! Encoding appends to a buffer and does not allocate while the buffer has capacity. The order of fields and
+//! the omission of default values are part of the format.
 use tidewall_failover::leadership::{Leadership, LeadershipAcceptor};
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame, WireError};
 
-/// The role that a gateway tells its peer in its greeting.
+/// The role in the greeting of a gateway to its peer.
 pub const PEER_ROLE: &str = "pair";
 
-/// The role that `tidewall status` tells in its greeting.
+/// The role in the greeting of `tidewall status`.
 pub const STATUS_ROLE: &str = "status";
 
 /// The first message of each side of the connection between the two gateways.
@@ -18,13 +18,13 @@
 pub struct PeerGreeting<'a> {
     /// The sender's name.
     pub name: &'a str,
-    /// The sender's incarnation: rises with each of its starts.
+    /// The sender's incarnation, which rises with each of its starts.
     pub incarnation: u64,
-    /// The sender serves.
+    /// Whether the sender serves.
     pub serves: bool,
     /// The epoch under which the sender serves or served last; 0 for none.
     pub epoch: u64,
-    /// The settings that both must have, a line each.
+    /// The settings that must be equal on both gateways, one per line.
     pub shared_settings: &'a [u8],
 }
 
@@ -42,8 +42,8 @@
             .end();
     }
 
-    /// Reads the rest of a greeting whose role is [`PEER_ROLE`]. `expected_name` is the configured peer's, none where
-    /// failover is not configured.
+    /// Decodes the rest of a greeting whose role is [`PEER_ROLE`]. `expected_name` is the name of the
+    /// configured peer; `None` if failover is not configured.
     ///
     /// # Errors
     /// A field is missing or malformed, or the sender is not the expected peer.
@@ -55,7 +55,8 @@
         let incarnation = fields.whole(Field::Life)?;
         let serves = fields.flag(Field::On)?;
         let epoch = fields.upto(Field::Epoch, u64::MAX, 0)?;
-        // Before the settings are read: a stranger's are of no interest.
+        // Checked before the settings are decoded, so that an unexpected sender gets this error and not one
+        // about them.
         match expected_name {
             None => return Err(WireError::invalid(Field::Role, "no pair here")),
             Some(expected) if name != expected => {
@@ -74,24 +75,24 @@
     }
 }
 
-/// A message between the two gateways that changes no replicated state. It is not numbered among the records.
+/// A message between the two gateways that changes no replicated state. It has no record number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerControl {
     /// Sent four times in an advertisement interval.
     Heartbeat {
-        /// The sender serves.
+        /// Whether the sender serves.
         serves: bool,
-        /// The receiver's incarnation that the voters hold to be synchronized; 0 for none.
+        /// The receiver's incarnation that the voters count as synchronised; 0 for none.
         synced_incarnation: u64,
         /// The sender's epoch; 0 for none.
         epoch: u64,
     },
-    /// All records up to this one are applied.
+    /// All records up to this one were applied.
     Acknowledged {
         /// The record's number on this connection, from 1.
         sequence: u64,
     },
-    /// The receiver is to stop serving in favour of the sender.
+    /// Requests the receiver to stop serving in favour of the sender.
     StepDownRequested,
     /// The sender has stopped serving.
     SteppedDown,
@@ -118,7 +119,7 @@
         .end();
     }
 
-    /// Reads a control message; none where the frame is of another kind, such as a replication record.
+    /// Decodes a control message; `None` if the frame is of another kind, such as a replication record.
     ///
     /// # Errors
     /// A field is missing or malformed.
@@ -147,25 +148,25 @@
 pub struct GatewayStatus<'a> {
     /// The gateway's name.
     pub name: &'a str,
-    /// Its role as [`Role::text`](tidewall_failover::role::Role::text) gives it.
+    /// Its role as returned by [`Role::text`](tidewall_failover::role::Role::text).
     pub role: &'a str,
     /// The epoch under which it serves or served last; 0 for none.
     pub epoch: u64,
-    /// It is connected to its peer.
+    /// Whether it is connected to its peer.
     pub connected: bool,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Requests in flight here.
+    /// The number of requests in flight at this gateway.
     pub in_flight: u64,
-    /// Attempts, load requests and responses that wait for the peer's acknowledgement.
+    /// The number of attempts, load requests and responses that wait for the peer's acknowledgement.
     pub waiting: u64,
-    /// Requests in flight at the peer that are known here.
+    /// The number of requests in flight at the peer that were replicated to this gateway.
     pub replicated_requests: u64,
-    /// Records that the peer has not acknowledged.
+    /// The number of records that the peer has not acknowledged.
     pub unacknowledged: u64,
-    /// VRRP advertisements that were rejected.
+    /// The number of rejected VRRP advertisements.
     pub rejected_advertisements: u64,
-    /// The first setting that the peer has otherwise; empty where all agree.
+    /// The first setting that differs from the peer's; empty if all agree.
     pub settings_mismatch: &'a str,
 }
 
@@ -187,7 +188,7 @@
             .end();
     }
 
-    /// Reads the fields of a status frame; absent numbers are 0.
+    /// Decodes the fields of a status frame; absent numbers are 0.
     ///
     /// # Errors
     /// A field is missing or malformed.
@@ -209,23 +210,23 @@
     }
 }
 
-/// What a gateway asks a worker as an acceptor of leadership proposals.
+/// A gateway's request to a worker in its role as an acceptor of leadership proposals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteRequest {
-    /// Phase 1: to promise that no older ballot is accepted any more.
+    /// Phase 1: requests the promise to accept no lower ballot.
     Prepare {
-        /// Names the call; the reply repeats it.
+        /// Identifies the call; repeated in the reply.
         call_id: u64,
         /// The proposal's ballot.
         ballot: u64,
     },
-    /// Phase 2: to accept a leadership.
+    /// Phase 2: requests the acceptance of a leadership.
     Accept {
-        /// Names the call; the reply repeats it.
+        /// Identifies the call; repeated in the reply.
         call_id: u64,
         /// The proposal's ballot.
         ballot: u64,
-        /// What is to be accepted.
+        /// The leadership to accept.
         leadership: Leadership,
     },
 }
@@ -251,7 +252,7 @@
         .end();
     }
 
-    /// Reads a request as a worker does; none where the frame is of another kind.
+    /// Decodes a request, on the worker's side; `None` if the frame is of another kind.
     ///
     /// # Errors
     /// A field is missing, malformed or out of range.
@@ -276,16 +277,16 @@
 /// A worker's reply to a [`VoteRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteReply {
-    /// The call that it replies to.
+    /// Identifies the call that it replies to.
     pub call_id: u64,
-    /// The worker promised or accepted what it was asked.
+    /// Whether the worker gave the requested promise or acceptance.
     pub granted: bool,
-    /// The worker's state as an acceptor after that.
+    /// The worker's acceptor state after handling the request.
     pub acceptor: LeadershipAcceptor,
 }
 
 impl VoteReply {
-    /// Appends the reply's frame to `out`, as a worker does.
+    /// Appends the reply's frame to `out`, on the worker's side.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let frame = Frame::new(out, kind::PROMISED)
             .whole(Field::Id, self.call_id)
@@ -294,7 +295,8 @@
         encode_leadership(frame, self.acceptor.accepted).end();
     }
 
-    /// The call alone. It is looked up before the rest is read: what a reply to an ended call holds is of no interest.
+    /// Decodes only the call's identifier. The call is looked up before the rest is decoded, so that the
+    /// contents of a reply to a call that no longer exists are ignored.
     ///
     /// # Errors
     /// The field is missing or malformed.
@@ -302,14 +304,15 @@
         fields.whole(Field::Id)
     }
 
-    /// Reads the fields of a reply; absent numbers are 0, and an absent member is the first.
+    /// Decodes the fields of a reply; absent numbers are 0, and an absent member is the first one.
     ///
     /// # Errors
     /// A field is missing, malformed or out of range.
     pub fn decode(fields: &Fields) -> Result<VoteReply, WireError> {
         let call_id = VoteReply::decode_call_id(fields)?;
         let granted = fields.flag(Field::On)?;
-        // The accepted leadership before the promise: the order decides which of several faults is told.
+        // The accepted leadership is decoded before the promise: the order determines which of several errors
+        // is reported.
         let accepted = decode_leadership(fields)?;
         Ok(VoteReply {
             call_id,
@@ -322,7 +325,8 @@
     }
 }
 
-/// Members count from 1 on the wire, where 0 is a gateway without failover.
+/// Adds the leadership's fields to the frame. On the wire members are numbered from 1; 0 is a gateway without
+/// failover.
 fn encode_leadership(frame: Frame, leadership: Leadership) -> Frame {
     frame
         .whole(Field::Epoch, leadership.epoch)
--- a/crates/tidewall-gateway/src/failover/duplicates.rs
+++ b/crates/tidewall-gateway/src/failover/duplicates.rs
@@ -1,6 +1,7 @@
-//! Requests that a client sends again, found by class and idempotency key: they join the request in flight, here or at the
-//! peer, or get the response that is remembered, so that nothing is executed twice. A retry whose first sending nobody
-//! remembers is refused while that may be due to a takeover without replication.
+//! Detection of repeated requests by class and idempotency key. A repeat joins the request in flight, at this
+//! gateway or at the peer, or gets the stored response, so that the request is not executed twice. A retry
+//! without a record of the original request is refused while the record may be missing because of a takeover
+//! without replication.
 use super::replicator::{disposition_from_number, Replicator};
 use super::FENCING_RETRY_AFTER;
 use crate::ingress::{Disposition, IncomingRequest, ReplyHandle, NO_REQUEST_SLOT};
@@ -9,12 +10,14 @@
 use tidewall_failover::recovery::{self, UnrecordedRetryAction};
 use tidewall_net::{Net, Time};
 
-/// A client that sends a request again, and what is known of the time until which it waits.
+/// A client that repeats a request, and the known bounds of the time until which it waits.
 #[derive(Clone, Copy)]
 pub(crate) struct RetryingClient {
     reply_handle: ReplyHandle,
-    /// It waits at least until then; none where the retry lay unread for so long that it may wait no longer.
+    /// The client waits at least until then; `None` if the retry was read so late that the client may have
+    /// stopped waiting.
     earliest: Option<Time>,
+    /// The client waits at most until then.
     latest: Time,
 }
 
@@ -27,28 +30,33 @@
         }
     }
 
-    /// It and the time until which it waits for certain; none where it may wait no longer.
-    fn certain(self) -> Option<(ReplyHandle, Time)> {
+    /// The client and the time until which it certainly waits; `None` if it may have stopped waiting.
+    fn certain_wait(self) -> Option<(ReplyHandle, Time)> {
         Some((self.reply_handle, self.earliest?))
     }
 
-    /// It and the time until which it waits for the response to a request in flight with this deadline.
-    pub(super) fn joining(self, deadline: Time) -> (ReplyHandle, Time) {
+    /// The client and the time until which it waits for the response to a request in flight with this
+    /// deadline.
+    pub(super) fn joined_wait(self, deadline: Time) -> (ReplyHandle, Time) {
         let until = recovery::retry_deadline(self.earliest, self.latest, deadline);
         (self.reply_handle, until)
     }
 }
 
 impl<N: Net> IngressContext<N> {
-    /// Gives a request to the one in flight or the response that it repeats, and gives back its slot; none where it is
-    /// new, where failover is not configured, or where there is a response and nothing of its client's time is certain.
+    /// Joins a repeated request to the original in flight, or answers it with the stored response. Returns
+    /// the slot of the original, or `NO_REQUEST_SLOT` if this gateway has none for it. Returns `None` if the
+    /// request is new, if failover is not configured, or if there is a stored response but the client may
+    /// have stopped waiting.
     pub(crate) fn find_duplicate(&mut self, request: &IncomingRequest) -> Option<usize> {
         let host = &mut self.scheduler.host;
         let now = host.net.now();
         let replicator = host.replicator.as_mut()?;
         let client = RetryingClient::new(request, now);
-        let certain = client.certain();
-        if certain.is_some_and(|client| refuse_unknown_retry(replicator, request, client, now)) {
+        let certain_wait = client.certain_wait();
+        if certain_wait
+            .is_some_and(|client| refuse_unrecorded_retry(replicator, request, client, now))
+        {
             return Some(NO_REQUEST_SLOT);
         }
         let key = request.idempotency_key;
@@ -58,7 +66,7 @@
         match replicator.deduplication.lookup(now, request.class, key)? {
             RequestLocation::Local(slot) => {
                 let slot = *slot;
-                let waiting = client.joining(host.requests[slot].deadline());
+                let waiting = client.joined_wait(host.requests[slot].deadline());
                 if now >= waiting.1 {
                     let failed = replicator.response_to(waiting, Disposition::Failed, 0);
                     replicator.ready_responses.push_back(failed);
@@ -78,7 +86,7 @@
             } => {
                 let (number, payload) = (*number, payload.clone());
                 let disposition = disposition_from_number(number);
-                let mut response = replicator.response_to(certain?, disposition, 0);
+                let mut response = replicator.response_to(certain_wait?, disposition, 0);
                 response.payload.extend_from_slice(&payload);
                 replicator.ready_responses.push_back(response);
                 Some(NO_REQUEST_SLOT)
@@ -87,9 +95,9 @@
     }
 }
 
-/// Refuses a retry of which nobody knows what became of its first sending, where a second execution may do harm. False
-/// where it may be treated as any other request.
-fn refuse_unknown_retry(
+/// Refuses a retry without a record of the original request, if another execution may be harmful. Returns
+/// false if the retry may be handled like any other request.
+fn refuse_unrecorded_retry(
     replicator: &mut Replicator,
     request: &IncomingRequest,
     client: (ReplyHandle, Time),
--- a/crates/tidewall-gateway/src/failover/held_back.rs
+++ b/crates/tidewall-gateway/src/failover/held_back.rs
@@ -1,31 +1,32 @@
-//! What is held back until the peer has acknowledged the records written before it: attempts, load requests and responses,
-//! in the order in which they came. A response is held back no longer than its clients wait: who would stop waiting is told
-//! a failure instead, which promises nothing that the peer could contradict.
+//! Actions that are held back until the peer has acknowledged the records written before them: attempts, load
+//! requests and responses, in the order in which they were deferred. A response is held back no longer than
+//! its clients wait: a client that would stop waiting gets a failure instead, which the peer cannot
+//! contradict.
 use crate::ingress::{Disposition, ReplyHandle, LATE_RESPONSE_GRACE, NO_CLIENT};
 use std::collections::VecDeque;
 use tidewall_failover::recovery::{give_up_link_at, give_up_record_at};
 use tidewall_net::Time;
 use tracing::debug;
 
-/// A response on its way to the clients that wait for it.
+/// A response that is to be sent to the clients that wait for it.
 #[derive(Default)]
 pub struct PendingResponse {
-    /// The client's own id of the request, for logs; 0 where the request is not in flight here.
+    /// The client's id of the request, for logs; 0 if the request is not in flight at this gateway.
     pub request: u64,
-    /// The clients, each with the time when it gives up.
+    /// The clients, each with the time at which it stops waiting.
     pub clients: Vec<(ReplyHandle, Time)>,
-    /// What they are told; none counts as failed.
+    /// The disposition; `None` counts as failed.
     pub disposition: Option<Disposition>,
-    /// Where rejected: after how many tenths of a millisecond to come back; 0 where that is left open.
+    /// For a rejection: the Retry-After in tenths of a millisecond; 0 if none is given.
     pub retry_after: Time,
-    /// Tenths of a millisecond that the gateway had the request; 0 where it did not have it itself.
+    /// How long the request was in flight at this gateway, in tenths of a millisecond; 0 if it never was.
     pub elapsed: Time,
     /// The response's payload.
     pub payload: Vec<u8>,
 }
 
 impl PendingResponse {
-    /// Empties it, and keeps its buffers for another response.
+    /// Resets the response and keeps its buffers for another one.
     pub(super) fn clear(&mut self) {
         self.request = 0;
         self.clients.clear();
@@ -36,29 +37,29 @@
     }
 }
 
-/// What is held back until all records written before it are acknowledged.
+/// An action that is held back until all records written before it are acknowledged.
 pub enum DeferredAction {
-    /// A call to a worker is given its connection.
+    /// Assigns a connection to a call, which sends it to its worker.
     SendCall {
         /// The call's slot.
         call: usize,
-        /// The call's generation: the slot may serve another call by then.
+        /// The call's generation, as the slot may have been reused for another call since.
         generation: u32,
     },
-    /// A response goes to its clients.
+    /// Sends a response to its clients.
     Respond(PendingResponse),
 }
 
-struct HeldBack {
-    /// The last record written before it.
+struct HeldBackAction {
+    /// The number of the last record written before the action.
     sequence: u64,
-    /// When it began to wait.
+    /// When the action was deferred.
     since: Time,
     action: DeferredAction,
 }
 
-impl HeldBack {
-    /// The times when the clients of a response stop waiting; none for a call.
+impl HeldBackAction {
+    /// The times at which the clients of a response stop waiting; empty for a call.
     fn client_deadlines(&self) -> impl Iterator<Item = Time> + '_ {
         let clients = match &self.action {
             DeferredAction::Respond(response) => response.clients.as_slice(),
@@ -68,22 +69,22 @@
         waiting.map(|client| client.1)
     }
 
-    /// Whether a client would stop waiting if its response went on waiting for the peer. `usual_wait` as in
-    /// [`give_up_link_at`].
+    /// Whether the link has to be given up so that the first client still gets its response before it stops
+    /// waiting. `usual_wait` as in [`give_up_link_at`].
     fn is_urgent(&self, now: Time, usual_wait: Time) -> bool {
         self.client_deadlines()
             .min()
             .is_some_and(|deadline| now >= give_up_link_at(self.since, deadline, usual_wait))
     }
 
-    /// When the first of its clients is told a failure instead.
+    /// When the first client of the response gets a failure instead.
     fn given_up_at(&self) -> Option<Time> {
         self.client_deadlines()
             .map(|deadline| record_given_up_at(self.since, deadline))
             .min()
     }
 
-    /// Moves the clients that can wait no longer into `failure`; false where there are none.
+    /// Moves the clients that cannot wait any longer into `failure`; returns false if there are none.
     fn move_given_up(&mut self, now: Time, failure: &mut PendingResponse) -> bool {
         let since = self.since;
         let DeferredAction::Respond(response) = &mut self.action else {
@@ -103,28 +104,29 @@
             request = response.request,
             waited = now - since,
             record = self.sequence,
-            "record given up"
+            "gave up waiting for the acknowledgement of a response's record"
         );
         true
     }
 }
 
-/// When a client that gives up at `deadline` is told a failure, where its response began to wait at `since`.
+/// Returns when a client gets a failure that stops waiting at `deadline` and whose response has waited since
+/// `since`.
 fn record_given_up_at(since: Time, deadline: Time) -> Time {
     give_up_record_at(since, deadline, deadline + LATE_RESPONSE_GRACE)
 }
 
-/// The actions that are held back, in the order in which they came.
+/// The actions held back, in the order in which they were deferred.
 pub(super) struct HeldBackQueue {
-    queue: VecDeque<HeldBack>,
-    /// How long an acknowledgement may take while the peer is well, in tenths of a millisecond.
+    queue: VecDeque<HeldBackAction>,
+    /// How long the acknowledgement of a healthy peer takes at most, in tenths of a millisecond.
     usual_wait: Time,
-    /// The earliest time for which a timer is set.
+    /// The earliest time for which a timer is set, if any.
     timer_at: Option<Time>,
 }
 
 impl HeldBackQueue {
-    /// An empty queue; `usual_wait` as in [`give_up_link_at`].
+    /// Creates an empty queue; `usual_wait` as in [`give_up_link_at`].
     pub(super) fn new(usual_wait: Time) -> HeldBackQueue {
         HeldBackQueue {
             queue: VecDeque::new(),
@@ -133,7 +135,7 @@
         }
     }
 
-    /// How many actions are held back.
+    /// The number of actions held back.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
@@ -145,18 +147,18 @@
                 request = response.request,
                 disposition = response.disposition.map(Disposition::wire_text),
                 record = sequence,
-                "response waits for its record"
+                "response waits for the acknowledgement of its record"
             );
         }
-        self.queue.push_back(HeldBack {
+        self.queue.push_back(HeldBackAction {
             sequence,
             since: now,
             action,
         });
     }
 
-    /// The next action that is held back no longer: all are free without `acknowledged`, else those whose records are among
-    /// the acknowledged ones.
+    /// Removes and returns the next action that may be released. `acknowledged` is the number of the last
+    /// acknowledged record; `None` releases all actions.
     pub(super) fn pop(&mut self, now: Time, acknowledged: Option<u64>) -> Option<DeferredAction> {
         let first = self.queue.front()?;
         if acknowledged.is_some_and(|acknowledged| first.sequence > acknowledged) {
@@ -167,21 +169,21 @@
                 request = response.request,
                 waited = now - first.since,
                 recorded = acknowledged.is_some(),
-                "response no longer waits"
+                "response no longer waits for its record"
             );
         }
         self.queue.pop_front().map(|first| first.action)
     }
 
-    /// Whether the first action has been held back for longer than `limit`, or a response for longer than its clients allow the
-    /// link.
+    /// Whether the first action has been held back for longer than `limit`, or the link has to be given up
+    /// for the clients of any response.
     pub(super) fn is_too_slow(&self, now: Time, limit: Time) -> bool {
-        let overdue = |first: &HeldBack| now > first.since + limit;
-        let urgent = |held: &HeldBack| held.is_urgent(now, self.usual_wait);
-        self.queue.front().is_some_and(overdue) || self.queue.iter().any(urgent)
+        let is_overdue = |first: &HeldBackAction| now > first.since + limit;
+        let is_urgent = |held: &HeldBackAction| held.is_urgent(now, self.usual_wait);
+        self.queue.front().is_some_and(is_overdue) || self.queue.iter().any(is_urgent)
     }
 
-    /// Moves the clients that can wait no longer into failures, one for each response that is given up.
+    /// Moves the clients that cannot wait any longer into failures, one for each response concerned.
     pub(super) fn take_given_up(&mut self, now: Time) -> Vec<PendingResponse> {
         let mut failures = Vec::new();
         let mut failure = PendingResponse::default();
@@ -193,22 +195,27 @@
         failures
     }
 
-    /// When a timer has to be set for the last action, if it is a response that is given up soon and before all others.
+    /// Returns when to set a timer for the last action, if that is a response that is given up soon and
+    /// before all others.
     pub(super) fn timer_for_last(&mut self, now: Time) -> Option<Time> {
         let given_up_at = self.queue.back()?.given_up_at();
-        self.earlier_timer(now, given_up_at)
+        self.note_earlier_timer(now, given_up_at)
     }
 
-    /// When a timer has to be set for what is left, after what was due at `now` was taken.
+    /// Returns when to set a timer for the remaining actions, after those due at `now` were taken.
     pub(super) fn timer_for_rest(&mut self, now: Time) -> Option<Time> {
         self.timer_at = self.timer_at.filter(|set_for| *set_for > now);
-        let given_up_at = self.queue.iter().filter_map(HeldBack::given_up_at).min();
-        self.earlier_timer(now, given_up_at)
+        let given_up_at = self
+            .queue
+            .iter()
+            .filter_map(HeldBackAction::given_up_at)
+            .min();
+        self.note_earlier_timer(now, given_up_at)
     }
 
-    /// Notes a timer for `at`, where that is soon and no earlier one is set. What is due later is looked at again with the
-    /// next ticks: most of it does not wait that long.
-    fn earlier_timer(&mut self, now: Time, at: Option<Time>) -> Option<Time> {
+    /// Returns `at` and notes that a timer is set for it, if it is soon and no earlier timer is set. Later
+    /// times need no timer: the next ticks check them again, and most responses are released before.
+    fn note_earlier_timer(&mut self, now: Time, at: Option<Time>) -> Option<Time> {
         let is_soon = |at: &Time| *at <= now + self.usual_wait;
         let is_first = |at: &Time| self.timer_at.is_none_or(|set_for| *at < set_for);
         let earlier = at.filter(is_soon).filter(is_first);
--- a/crates/tidewall-gateway/src/failover/mod.rs
+++ b/crates/tidewall-gateway/src/failover/mod.rs
@@ -1,28 +1,35 @@
 //! Failover: two gateways run as an active/standby pair behind one shared address.
 //!
-//! Three parties have a say. VRRP tells which of the two wants to serve (`vrrp`). A majority of the workers, as
-//! acceptors of leadership proposals, tells which of them may, and under which epoch (`voting`). The connection to the
-//! peer tells what the other one knows (`peer_link`). The crate `tidewall-failover` weighs them
-//! (`RoleStateMachine`); this module carries its decisions out inside the gateway's event loop (`role_actions`).
+//! The role of a gateway depends on three inputs. VRRP selects the gateway that should serve (`vrrp`). A
+//! majority of the voters, which are workers that act as acceptors of leadership proposals, decides which
+//! gateway may serve, and under which epoch (`voting`). The connection to the peer reports the peer's state
+//! (`peer_link`). `RoleStateMachine` of the crate `tidewall-failover` decides the role from them; this module
+//! carries its decisions out inside the gateway's event loop (`role_actions`).
 //!
-//! What makes a takeover safe is the order of things:
+//! These rules make a takeover safe:
 //!
-//! 1. The serving gateway writes a replication record (`records`) of each change of its requests in flight before the
-//!    change has an effect outside (`replication`).
-//! 2. Where a second execution may do harm, an attempt is sent to its worker, and a response to its client, only after the
-//!    peer has acknowledged the record (`replicator`, `held_back`). So the peer knows of each attempt that may have been
-//!    executed, and no client holds a response that the peer could contradict. A client that would stop waiting before that
-//!    is told that its request failed, which promises nothing.
-//! 3. A peer that has just connected gets a snapshot of all that is in flight or remembered (`snapshot`). Until it has
-//!    acknowledged that, it is not told to the voters as synchronized, and may not take over.
-//! 4. The peer applies the records to its table of the other's requests (`peer_requests`). When it serves, it continues
-//!    each of them, waits until a worker is fenced, or ends it (`takeover`).
-//! 5. Workers refuse what the other gateway sends under an epoch below the fencing floor of the leadership that they
-//!    accepted: a gateway that was paused while its peer took over can do no harm, and restarts knowing nothing.
+//! 1. The serving gateway writes a replication record (`records`) for each change of its requests in flight
+//!    before the change takes effect outside the gateway (`replication`).
+//! 2. If a second execution may be harmful, an attempt is sent to its worker, and a response to its client,
+//!    only after the peer has acknowledged the record (`replicator`, `held_back`). The peer therefore knows
+//!    each attempt that may have been executed, and no client receives a response that the peer could
+//!    contradict. A client that would stop waiting before the acknowledgement is told that its request
+//!    failed, which remains correct after a takeover.
+//! 3. A newly connected peer receives a snapshot of all requests in flight and all stored responses
+//!    (`snapshot`). Until it has acknowledged the snapshot, it is not reported to the voters as synchronised
+//!    and must not take over.
+//! 4. The peer applies the records to its table of the serving gateway's requests (`peer_requests`). When it
+//!    starts serving, it continues each of them, waits until a worker is fenced, or ends the request
+//!    (`takeover`).
+//! 5. Workers reject calls of the other gateway under an epoch below the fencing floor of the leadership that
+//!    they accepted. A gateway that was paused while its peer took over therefore cannot have attempts
+//!    executed, and restarts without state.
 //!
-//! A client whose connection was lost may send its request again to either gateway; `duplicates` finds what became of it.
+//! A client that lost its connection may send its request again to either gateway; `duplicates` finds the
+//! request in flight or its response.
 //!
-//! All times are whole tenths of a millisecond, but for the VRRP interval, which is in centiseconds as on its wire.
+//! All times are whole tenths of a millisecond, except for the VRRP interval, which is in centiseconds as in
+//! the packet.
 pub mod control_messages;
 mod duplicates;
 mod held_back;
@@ -54,24 +61,30 @@
 use tidewall_vrrp::packet::Keys;
 use tidewall_vrrp::CENTISECOND;
 use voting::FencedWorkers;
-use vrrp::{VrrpState, VrrpVerdict};
+use vrrp::{VrrpState, VrrpTransition};
 
-/// Ticks, and with them heartbeats, in an advertisement interval: a tick that is late by one matters little.
+/// The number of ticks in an advertisement interval. Each tick sends a heartbeat, so one missing or late
+/// heartbeat does not let the silence limit expire.
 const TICKS_PER_INTERVAL: Time = 4;
 
-/// A peer that is well acknowledges within so many ticks (50 ms at the usual interval), also behind a long wake-up.
+/// A healthy peer acknowledges within this many ticks (50 ms at the usual interval), even after a long
+/// wake-up.
 const USUAL_WAIT_TICKS: Time = 2;
 
-/// The peer is lost after so many advertisement intervals without a message, as VRRP counts (RFC 9568, 6.1).
+/// The peer counts as lost after this many advertisement intervals without a message, like VRRP's Active
+/// router (RFC 9568, 6.1).
 const SILENT_INTERVALS: Time = 3;
 
-/// The authentication keys are read again every so many ticks: each second at the default interval of 10 centiseconds.
+/// The authentication keys are reloaded after this many ticks: each second at the default interval of 10
+/// centiseconds.
 const KEY_RELOAD_TICKS: u64 = 40;
 
-/// Workers that are not fenced yet are asked again every so many ticks: once in an advertisement interval.
+/// The leadership is announced again to workers that are not fenced yet after this many ticks: once in an
+/// advertisement interval.
 const FENCING_RETRY_TICKS: u64 = 4;
 
-/// The Retry-After of a request that cannot be decided before workers are fenced: a few round trips to the workers.
+/// The Retry-After of a request whose outcome is unknown until workers are fenced: a few round trips to the
+/// workers.
 const FENCING_RETRY_AFTER: Time = 500;
 
 /// The settings of one gateway of a pair.
@@ -80,42 +93,44 @@
     pub name: String,
     /// The other gateway's name.
     pub peer_name: String,
-    /// Rises with each start of this gateway: the clock's milliseconds, so that it needs no storage.
+    /// Rises with each start of this gateway: the wall clock's time in milliseconds, so that no storage is
+    /// needed.
     pub incarnation: u64,
-    /// VRRP's virtual router identifier, 1 to 255, the same at both.
+    /// VRRP's virtual router identifier, 1 to 255, equal on both gateways.
     pub vrid: u8,
-    /// VRRP's priority, 1 to 255: the higher one serves where both may.
+    /// VRRP's priority, 1 to 255: if both gateways may serve, the one with the higher priority does.
     pub priority: u8,
     /// VRRP's advertisement interval in centiseconds.
     pub interval: u16,
-    /// Whether a higher priority takes over from a lower one that serves.
+    /// Whether a gateway of higher priority takes over from one of lower priority that serves.
     pub preempt: bool,
-    /// Where this gateway receives advertisements.
+    /// The address on which this gateway receives advertisements.
     pub vrrp_address: SocketAddr,
-    /// Where the peer receives advertisements.
+    /// The address on which the peer receives advertisements.
     pub peer_vrrp_address: SocketAddr,
-    /// Where this gateway listens for its peer and for `tidewall status`.
+    /// The address on which this gateway listens for its peer and for `tidewall status`.
     pub link_address: SocketAddr,
-    /// Where the peer listens.
+    /// The address on which the peer listens.
     pub peer_link_address: SocketAddr,
-    /// The address that clients know, which moves with the leadership.
+    /// The address to which clients connect, which moves with the leadership.
     pub shared_address: SocketAddr,
-    /// Gives the keys of advertisements. Called again and again, so that keys change without a restart.
+    /// Loads the keys of advertisements. Called periodically, so that keys can change without a restart.
     pub keys: Box<dyn Fn() -> Keys>,
-    /// The names of the workers that vote; an odd number.
+    /// The names of the workers that are voters; an odd number.
     pub voters: Vec<String>,
-    /// By request class: what a second execution may do.
+    /// By request class: whether a request may be executed again.
     pub retry_safety: Vec<RetrySafety>,
-    /// By request class: how long a response is remembered for clients that ask again.
+    /// By request class: how long a response is stored for clients that repeat the request.
     pub retention: Vec<Time>,
-    /// Whether two attempts of one request may be executed at once.
+    /// Whether two attempts of one request may be executed concurrently.
     pub allows_hedging: bool,
-    /// The limit of load requests: its window, the load requests that are free in it, and how many each request received
-    /// in it adds.
+    /// The limit of load requests: its window, the base allowance within it, and the additional allowance for
+    /// each client request received within it.
     pub load_request_limit: (Time, f64, f64),
-    /// Settings that both must have, a line each.
+    /// The settings that must be equal on both gateways, one per line.
     pub shared_settings: Vec<String>,
-    /// False only in an audit that is to notice that nothing is replicated.
+    /// Whether records of requests are replicated. False only in a test which checks that an audit detects
+    /// missing replication.
     pub replicates: bool,
 }
 
@@ -139,13 +154,13 @@
 /// Why a gateway's event loop was stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// It was asked to stop and has no requests in flight.
+    /// It was requested to stop and has no requests in flight.
     Drained,
-    /// The process is to start again: its leadership was superseded, or could not be confirmed.
+    /// The process has to restart: its leadership was superseded or could not be confirmed.
     Restart,
 }
 
-/// What this gateway knows besides its role.
+/// The failover state of this gateway, except for the role state machine.
 struct FailoverState {
     config: FailoverConfig,
     /// This gateway's position in the pair, 0 or 1: the one whose name sorts first is 0.
@@ -153,17 +168,17 @@
     vrrp: VrrpState,
     link: PeerLink,
     peer_requests: PeerRequests,
-    /// The peer's requests are ours, and some of them wait for their workers to be fenced.
+    /// This gateway took over the peer's requests, and some of them wait until their workers are fenced.
     recovering: bool,
     fenced_workers: FencedWorkers,
-    /// Some ingress could not listen yet.
+    /// At least one ingress could not listen on its address yet.
     listeners_pending: bool,
     ticks: u64,
     /// A shutdown was requested.
     shutting_down: bool,
 }
 
-/// One gateway of a pair: its role, and what its role depends on.
+/// One gateway of a pair: its role state machine, and the state on which its role depends.
 pub struct FailoverNode {
     role_machine: RoleStateMachine,
     state: FailoverState,
@@ -175,12 +190,12 @@
         self.state.member
     }
 
-    /// Where the peer and `tidewall status` connect.
+    /// The listener for the peer and `tidewall status`.
     pub fn listener(&self) -> Option<Listener> {
         Some(self.state.link.listener)
     }
 
-    /// Where advertisements come.
+    /// The socket that receives advertisements.
     pub fn port(&self) -> Option<DatagramSocket> {
         Some(self.state.vrrp.socket)
     }
@@ -192,13 +207,13 @@
 }
 
 impl<N: Net> IngressContext<N> {
-    /// The epoch under which this gateway serves; 0 where it is not one of a pair.
+    /// The epoch under which this gateway serves; 0 without failover.
     pub fn epoch(&self) -> u64 {
         let replicator = self.scheduler.host.replicator.as_ref();
         replicator.map_or(0, |replicator| replicator.epoch)
     }
 
-    /// The replicator of a gateway that is known to be one of a pair.
+    /// The replicator; panics without failover.
     fn expect_replicator(&mut self) -> &mut Replicator {
         let replicator = self.scheduler.host.replicator.as_mut();
         replicator.expect("a gateway with a failover node has a replicator")
@@ -206,10 +221,10 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Makes this gateway one of a pair, standby at first.
+    /// Makes this gateway a member of a pair, initially as the standby.
     ///
     /// # Errors
-    /// An address cannot be bound, or VRRP refuses a parameter.
+    /// An address cannot be bound, or a VRRP parameter is out of range.
     pub(crate) fn enable_failover(&mut self, config: FailoverConfig) -> Result<(), StartError> {
         let member = usize::from(config.name > config.peer_name);
         let interval = config.advertisement_interval();
@@ -227,7 +242,7 @@
             now + config.tick_interval(),
             TimerToken::FailoverTick.pack(),
         );
-        // An attempt that waits for its record gets one interval more than the link's silence.
+        // An action that waits for its record gets one interval more than the silence limit of the link.
         let silence_timeout = config.silence_limit() + interval;
         let usual_wait = USUAL_WAIT_TICKS * config.tick_interval();
         let replicator = Replicator::new(member, &config, silence_timeout, usual_wait);
@@ -255,13 +270,13 @@
         Ok(())
     }
 
-    /// Lets the role state machine react to one event, and then to what VRRP concluded meanwhile. Without failover
-    /// nothing happens.
+    /// Lets the role state machine handle one event, and then any VRRP transition that the event caused. Does
+    /// nothing without failover.
     fn with_role(
         &mut self,
-        react: impl FnOnce(&mut RoleStateMachine, Time, &mut GatewayActions<N>),
+        handle_event: impl FnOnce(&mut RoleStateMachine, Time, &mut GatewayActions<N>),
     ) {
-        // Taken out, so that the role's actions may borrow all of the gateway.
+        // The node is taken out so that the role's actions can borrow the whole gateway.
         let Some(mut node) = self.failover.take() else {
             return;
         };
@@ -274,39 +289,40 @@
             gateway: self,
             state,
         };
-        react(role_machine, now, &mut actions);
-        while let Some(verdict) = actions.state.vrrp.verdict.take() {
-            match verdict {
-                VrrpVerdict::Active => role_machine.vrrp_became_active(now, &mut actions),
-                VrrpVerdict::Backup => role_machine.vrrp_became_backup(now),
+        handle_event(role_machine, now, &mut actions);
+        while let Some(transition) = actions.state.vrrp.pending_transition.take() {
+            match transition {
+                VrrpTransition::Active => role_machine.vrrp_became_active(now, &mut actions),
+                VrrpTransition::Backup => role_machine.vrrp_became_backup(now),
             }
         }
         self.failover = Some(node);
     }
 
-    /// The epoch under which this gateway serves or served last; 0 where it never did.
+    /// The epoch under which this gateway serves or served last; 0 if it never served.
     pub fn epoch(&self) -> u64 {
         self.context.epoch()
     }
 
-    /// The first setting that the peer has otherwise.
+    /// The first setting that differs from the peer's.
     pub fn settings_mismatch(&self) -> Option<&str> {
         let node = self.failover.as_ref()?;
         node.state.link.settings_mismatch.as_deref()
     }
 
-    /// Attempts, load requests and responses that wait for the peer's acknowledgement.
+    /// The number of attempts, load requests and responses that wait for the peer's acknowledgement.
     pub fn unreplicated(&self) -> usize {
         let replicator = self.context.scheduler.host.replicator.as_ref();
         replicator.map_or(0, |replicator| replicator.waiting_count())
     }
 
-    /// The gateway's role; none without failover.
+    /// The gateway's role; `None` without failover.
     pub fn role(&self) -> Option<Role> {
         self.failover.as_ref().map(|node| node.state())
     }
 
-    /// The failover timer fired: several times in an advertisement interval, all is looked after that no event would tell.
+    /// Handles the failover timer, which fires several times in an advertisement interval, and checks every
+    /// condition that no other event reports.
     pub(crate) fn failover_tick(&mut self) {
         let Some(node) = &mut self.failover else {
             return;
@@ -322,22 +338,22 @@
         if state.ticks.is_multiple_of(KEY_RELOAD_TICKS) {
             state.vrrp.reload_keys(&state.config);
         }
-        state.link.excuse_stall(now, net.total_stall());
+        state.link.note_stall(now, net.total_stall());
         self.give_up_records();
         self.check_peer_connection(now);
         self.with_role(|role_machine, now, actions| {
             role_machine.tick(now, actions);
             actions.after_tick(role_machine, now);
         });
-        let exits = |node: &FailoverNode| node.role_machine.exits_without_peer(now);
-        if self.failover.as_deref().is_some_and(exits) && !self.context.draining {
+        let exits_without_peer = |node: &FailoverNode| node.role_machine.exits_without_peer(now);
+        if self.failover.as_deref().is_some_and(exits_without_peer) && !self.context.draining {
             self.context.draining = true;
             self.stop_listening();
         }
     }
 
-    /// A shutdown is requested. False where the gateway is to end as one without failover would: there is none, or this
-    /// is the second request.
+    /// Handles a requested shutdown. Returns false if the gateway has to end like one without failover:
+    /// failover is not configured, this is the second request, or the peer cannot take over.
     pub(crate) fn begin_failover_shutdown(&mut self) -> bool {
         match &mut self.failover {
             Some(node) if !node.state.shutting_down => node.state.shutting_down = true,
--- a/crates/tidewall-gateway/src/failover/peer_link.rs
+++ b/crates/tidewall-gateway/src/failover/peer_link.rs
@@ -1,7 +1,8 @@
-//! The connection to the peer. The gateway whose name sorts last dials. Both greet each other with their incarnation,
-//! role, epoch and shared settings; a disagreement of settings bars one of the two from serving. Then come heartbeats,
-//! replication records, their acknowledgements, and requests to step down. A connection that is silent or too slow for a
-//! few advertisement intervals is reset: the role state machine then treats the peer as lost.
+//! The connection to the peer. The gateway whose name sorts last opens it. Both gateways send a greeting with
+//! their incarnation, whether they serve, epoch and shared settings; if the settings differ, one of the two
+//! may not take over. Heartbeats, replication records, acknowledgements and requests to step down follow. A
+//! connection that is silent or too slow for a few advertisement intervals is reset, and the role state
+//! machine then treats the peer as lost.
 //!
 //! The same listener answers `tidewall status`.
 use super::control_messages::{PeerControl, PeerGreeting, PEER_ROLE, STATUS_ROLE};
@@ -13,28 +14,29 @@
 use tidewall_wire::{self as wire, Field, Fields, WireError};
 use tracing::{info, trace, warn};
 
-/// The member that is barred from serving where the settings disagree: the one whose name sorts last.
-const BARRED_MEMBER: usize = 1;
+/// The member that may not take over if the settings differ: the one whose name sorts last.
+const INELIGIBLE_MEMBER: usize = 1;
 
-/// The member that dials its peer.
+/// The member that opens the connection to its peer.
 const DIALING_MEMBER: usize = 1;
 
-/// The state of the connection to the peer. The connection itself is the replicator's.
+/// The state of the connection to the peer. The connection itself is stored in the replicator.
 pub(super) struct PeerLink {
     pub listener: Listener,
-    /// A connection that we opened and whose greeting has not come yet.
+    /// A connection that this gateway opened and on which the peer's greeting has not been received yet.
     dialing: Option<Conn>,
-    /// When the last message came.
+    /// When the last message of the peer was received.
     last_heard: Time,
-    /// How long the process had stood still in all at the last tick.
+    /// The total stall of the process at the last tick.
     total_stall: Time,
-    /// Records that came over this connection, and those that we acknowledged.
+    /// The number of records received on this connection, and how many of them were acknowledged.
     records_received: u64,
     records_acknowledged: u64,
     pub snapshot: SnapshotCursor,
-    /// The last record when waiting for acknowledgements began: the peer has caught up once it is acknowledged.
+    /// The number of the last record written before actions began to wait for acknowledgements. The peer has
+    /// caught up once it has acknowledged this record.
     pub wait_start_sequence: u64,
-    /// The first setting that the peer has otherwise.
+    /// The first setting that differs from the peer's.
     pub settings_mismatch: Option<String>,
 }
 
@@ -53,8 +55,9 @@
         }
     }
 
-    /// What did not come while this process stood still says nothing about the peer.
-    pub fn excuse_stall(&mut self, now: Time, total_stall: Time) {
+    /// Restarts the silence limit if the process has stalled since the last tick: silence during a stall says
+    /// nothing about the peer.
+    pub fn note_stall(&mut self, now: Time, total_stall: Time) {
         if total_stall > self.total_stall {
             self.total_stall = total_stall;
             self.last_heard = now;
@@ -63,7 +66,8 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Each tick: sends a heartbeat, resets a connection that is silent or too slow, or dials.
+    /// Called at each tick: sends a heartbeat, resets a connection that is silent or too slow, or opens a new
+    /// one.
     pub(super) fn check_peer_connection(&mut self, now: Time) {
         let host = &mut self.context.scheduler.host;
         let (Some(node), Some(replicator)) = (&mut self.failover, &mut host.replicator) else {
@@ -110,7 +114,8 @@
         self.peer_connection_closed();
     }
 
-    /// The first message of a connection that we opened, and the reply to a greeting.
+    /// Sends this gateway's greeting: the first message on a connection that it opened, or the reply to the
+    /// peer's greeting.
     pub(crate) fn send_peer_greeting(&mut self, conn: Conn) {
         let Some(node) = &self.failover else { return };
         let config = &node.state.config;
@@ -127,7 +132,8 @@
         self.context.net().write(conn, &frame);
     }
 
-    /// A connection was closed before its greeting came: where we opened it, it is opened again with the next tick.
+    /// Handles a connection that was closed before its greeting was received. If this gateway opened it, the
+    /// next tick opens a new one.
     pub(crate) fn handshake_closed(&mut self, conn: Conn) {
         if let Some(node) = &mut self.failover {
             let dialing = &mut node.state.link.dialing;
@@ -137,10 +143,10 @@
         }
     }
 
-    /// The first frame of a connection that came to the link's listener or that we opened.
+    /// Handles the first frame of a connection that the link's listener accepted or that this gateway opened.
     ///
     /// # Errors
-    /// It is no greeting, or not one of the peer or of `tidewall status`.
+    /// The frame is not a greeting of the peer or of `tidewall status`.
     pub(crate) fn handshake_frame_received(
         &mut self,
         conn: Conn,
@@ -159,13 +165,13 @@
                 Ok(())
             }
             other => {
-                let problem = format!("{other} is not heard here");
+                let problem = format!("{other} is neither {PEER_ROLE} nor {STATUS_ROLE}");
                 Err(WireError::invalid(Field::Role, problem).into())
             }
         }
     }
 
-    /// The connection becomes the one to the peer; an older one, which the peer has given up, is reset.
+    /// Makes the connection the one to the peer. An older one, which the peer has given up, is reset.
     fn peer_greeted(&mut self, conn: Conn, greeting: &PeerGreeting) {
         let Some(node) = &mut self.failover else {
             return;
@@ -173,7 +179,7 @@
         let peer_settings = String::from_utf8_lossy(greeting.shared_settings);
         let mismatch = first_difference(&node.state.config.shared_settings, &peer_settings);
         if node.state.link.dialing.take().is_none() {
-            // The peer dialled and waits for our greeting.
+            // The peer opened the connection and waits for this gateway's greeting.
             self.send_peer_greeting(conn);
         }
         let replicator = self.context.scheduler.host.replicator.as_ref();
@@ -187,12 +193,16 @@
             link.records_received = 0;
             link.records_acknowledged = 0;
             link.last_heard = now;
-            let barred = mismatch.is_some() && node.state.member == BARRED_MEMBER;
+            let ineligible = mismatch.is_some() && node.state.member == INELIGIBLE_MEMBER;
             if let Some(setting) = &mismatch {
-                warn!(setting, barred, "settings disagree with the peer");
+                warn!(
+                    setting,
+                    barred = ineligible,
+                    "settings differ from the peer's"
+                );
             }
             link.settings_mismatch = mismatch;
-            node.role_machine.set_ineligible(barred);
+            node.role_machine.set_ineligible(ineligible);
         }
         if let Some(replicator) = &mut self.context.scheduler.host.replicator {
             replicator.conn = Some(conn);
@@ -211,7 +221,7 @@
         });
     }
 
-    /// The connection to the peer is gone, or is about to be dropped.
+    /// Handles a connection to the peer that was closed or is being reset.
     pub(crate) fn peer_connection_closed(&mut self) {
         if let Some(replicator) = &mut self.context.scheduler.host.replicator {
             replicator.conn = None;
@@ -225,7 +235,8 @@
         self.with_role(|role_machine, now, actions| role_machine.peer_disconnected(now, actions));
     }
 
-    /// Acknowledges the records that came since the last time: once for all that were read together.
+    /// Acknowledges the records received since the last acknowledgement, once for all records that were read
+    /// together.
     pub(crate) fn acknowledge_records(&mut self) {
         let Some(node) = &mut self.failover else {
             return;
@@ -241,7 +252,7 @@
         }
     }
 
-    /// A frame of the peer, after its greeting.
+    /// Handles a frame of the peer after its greeting.
     ///
     /// # Errors
     /// The frame is malformed, or acknowledges records that were never sent.
@@ -257,9 +268,9 @@
                 synced_incarnation,
                 epoch,
             }) => {
-                let counts_us = synced_incarnation == node.state.config.incarnation;
+                let reports_us_synced = synced_incarnation == node.state.config.incarnation;
                 self.with_role(|role_machine, now, actions| {
-                    role_machine.peer_heartbeat(now, actions, serves, counts_us, epoch)
+                    role_machine.peer_heartbeat(now, actions, serves, reports_us_synced, epoch)
                 });
             }
             Some(PeerControl::Acknowledged { sequence }) => {
@@ -284,22 +295,23 @@
         Ok(())
     }
 
-    /// The peer goes on as if it served, though this member fences it: none of its records is acknowledged, and it learns from
-    /// the greeting of the next connection who serves.
+    /// Resets the connection to a peer that still sends records although this member fences it. None of these
+    /// records is acknowledged, and the greeting on the next connection informs the peer that this member
+    /// serves.
     fn drop_fenced_peer(&mut self) {
         let replicator = self.context.scheduler.host.replicator.as_ref();
         if let Some(conn) = replicator.and_then(|replicator| replicator.conn) {
-            warn!("record of a fenced peer received");
+            warn!("record received from a fenced peer");
             self.drop_peer_connection(conn);
         }
     }
 
-    /// The peer has applied all records up to this one, counted on this connection.
+    /// Handles the peer's acknowledgement of all records up to `sequence`, counted on this connection.
     fn records_acknowledged(&mut self, sequence: u64) -> Result<(), ProtocolError> {
         let replicator = self.context.expect_replicator();
         let acknowledged = replicator.sequence_base + sequence;
         if acknowledged > replicator.last_sequence {
-            let problem = format!("{sequence} was never told");
+            let problem = format!("record {sequence} was never sent");
             return Err(WireError::invalid(Field::Seq, problem).into());
         }
         replicator.acknowledged_sequence = replicator.acknowledged_sequence.max(acknowledged);
@@ -319,7 +331,8 @@
     }
 }
 
-/// The first line that only one of the two has, in the order of their texts; ours first.
+/// Returns the first line, in sorted order, that only `ours` contains; if there is none, the first that only
+/// `theirs` contains.
 fn first_difference(ours: &[String], theirs: &str) -> Option<String> {
     let mut theirs: Vec<&str> = theirs.lines().collect();
     theirs.sort_unstable();
--- a/crates/tidewall-gateway/src/failover/peer_requests.rs
+++ b/crates/tidewall-gateway/src/failover/peer_requests.rs
@@ -1,5 +1,5 @@
-//! The peer's requests in flight, as its replication records tell them. They are only kept until this gateway serves; then
-//! `takeover` continues or ends them.
+//! The peer's requests in flight, built from its replication records. They are stored until this gateway
+//! starts serving; then `takeover` continues or ends them.
 use super::records::{AdmittedRequest, FinalResponse, RecordNames, ReplicationRecord, NO_SLOT};
 use super::replicator::Replicator;
 use crate::error::ProtocolError;
@@ -20,13 +20,13 @@
     pub memory: f64,
     pub cost_hint: Time,
     pub load_hint: Time,
-    /// By this gateway's clock.
+    /// When its client stops waiting, by this gateway's clock.
     pub deadline: Time,
     pub idempotency_key: Vec<u8>,
     pub payload: Vec<u8>,
-    /// In the order of their numbers.
+    /// The attempts, in the order of their numbers.
     pub attempts: Vec<Attempt>,
-    /// Clients that sent the same request to this gateway, each with the time when it gives up.
+    /// Clients that repeated the request to this gateway, each with the time at which it stops waiting.
     pub clients: Vec<(ReplyHandle, Time)>,
 }
 
@@ -55,19 +55,19 @@
     }
 }
 
-/// The peer's requests by its slots.
+/// The peer's requests in flight, by their slots at the peer.
 #[derive(Default)]
 pub(super) struct PeerRequests {
     slots: Vec<Option<ReplicatedRequest>>,
 }
 
 impl PeerRequests {
-    /// One more than the highest slot that was ever in use.
+    /// One more than the highest slot that was in use since the last snapshot began.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// How many requests there are.
+    /// The number of requests.
     pub fn len(&self) -> usize {
         self.slots.iter().flatten().count()
     }
@@ -116,7 +116,8 @@
         }
     }
 
-    /// The request has its response: it is remembered, and goes to the clients that sent the same request here.
+    /// Stores the response of a request and queues it for the clients that repeated the request to this
+    /// gateway.
     fn record_response(
         &mut self,
         replicator: &mut Replicator,
@@ -124,14 +125,14 @@
         response: &FinalResponse,
     ) {
         let request = self.take(response.slot.unwrap_or(NO_SLOT));
-        let known = request
+        let from_slot = request
             .as_ref()
             .map(|request| (request.class, &*request.idempotency_key));
-        // The record tells the key where its sender could not be sure that we know the slot.
-        let stated = response
+        // The record contains class and key if its sender could not be sure that this gateway knows the slot.
+        let from_record = response
             .request
             .map(|request| (request.class, request.idempotency_key));
-        if let Some((class, key)) = stated.or(known) {
+        if let Some((class, key)) = from_record.or(from_slot) {
             replicator.remember_response(now, class, key, response.disposition, response.payload);
         }
         if let Some(request) = request.filter(|request| !request.clients.is_empty()) {
@@ -145,7 +146,7 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Applies one replication record of the peer.
+    /// Decodes and applies one replication record of the peer.
     pub(super) fn apply_record(&mut self, fields: &Fields) -> Result<(), ProtocolError> {
         let host = &mut self.context.scheduler.host;
         let now = host.net.now();
--- a/crates/tidewall-gateway/src/failover/records.rs
+++ b/crates/tidewall-gateway/src/failover/records.rs
@@ -1,25 +1,29 @@
-//! Replication records: what the serving gateway writes to its peer about each change of its requests in flight, in the
-//! order of the changes, so that the peer can continue them. They are numbered by counting alone, from 1 on each
-//! connection, and acknowledged by [`PeerControl::Acknowledged`](super::control_messages::PeerControl).
+//! Replication records: the messages that the serving gateway writes to its peer for each change of its
+//! requests in flight, in the order of the changes, so that the peer can continue the requests. Records carry
+//! no number: both sides count them from 1 on each connection. They are acknowledged by
+//! [`PeerControl::Acknowledged`](super::control_messages::PeerControl).
 //!
-//! `docs/wire.md` specifies the frames (kinds 61 to 68). Encoding borrows all it writes and allocates nothing while the
-//! buffer has room. The order of a record's fields and the omission of default values are part of the format: captured
-//! frames must decode and encode to the same bytes.
+//! `docs/wire.md` specifies the frames (kinds 61 to 68). Encoding borrows all data and does not allocate
+//! while the buffer has capacity. The order of a record's fields and the omission of default values are part
+//! of the format: recorded frames must encode to the same bytes after they were decoded.
 use crate::error::ProtocolError;
 use crate::ingress::Disposition;
 use tidewall_net::Time;
 use tidewall_wire::{kind, Field, Fields, Frame, WireError};
 
-/// The slot of a record that names none. Higher ones are refused; a gateway has far fewer requests in flight.
+/// The slot of a record without a slot. Higher slots are rejected; a gateway has far fewer requests in
+/// flight.
 pub const NO_SLOT: usize = 1 << 24;
 
-/// Durations are refused above this (about 228,000 years), so that adding one to a clock reading cannot overflow.
+/// Longer durations (above about 228,000 years) are rejected, so that adding one to a clock reading cannot
+/// overflow.
 const MAX_DURATION: Time = u64::MAX >> 8;
 
-/// Lanes of one request are refused above this.
+/// The maximum number of lanes of one request; a higher number is rejected.
 const MAX_LANES: u64 = 1000;
 
-/// Names that both gateways have in their settings. Records hold positions in these lists, frames hold the names.
+/// Names that are in the settings of both gateways. Decoded records refer to them by their positions in these
+/// lists, while frames carry the names.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordNames<'a> {
     /// The names of request classes.
@@ -29,22 +33,22 @@
 }
 
 impl<'a> RecordNames<'a> {
-    /// The names of request classes and of tenants, in the order of the settings.
+    /// Combines the names of request classes and of tenants, each in the order of the settings.
     pub fn new(classes: &'a [String], tenants: &'a [String]) -> RecordNames<'a> {
         RecordNames { classes, tenants }
     }
 }
 
-/// A request that was admitted, with all that is needed to continue it.
+/// A request that was admitted, with all fields that are needed to continue it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmittedRequest<'a> {
-    /// The request's slot at the sender, which names it in later records.
+    /// The request's slot at the sender, which identifies it in later records.
     pub slot: usize,
-    /// The client's own name for the request.
+    /// The client's id of the request.
     pub id: u64,
-    /// Position of its class.
+    /// The position of its class.
     pub class: usize,
-    /// Position of its tenant; none too where the receiver does not know the tenant.
+    /// The position of its tenant; `None` if it has none or the receiver does not know the tenant.
     pub tenant: Option<usize>,
     /// The function that it calls.
     pub function: &'a str,
@@ -52,22 +56,23 @@
     pub lanes: u32,
     /// Memory that it needs, in the settings' unit; 0 is omitted on the wire.
     pub memory: f64,
-    /// Expected execution time in tenths of a millisecond; 0, omitted on the wire, where none was given.
+    /// Expected execution time in tenths of a millisecond; 0, omitted on the wire, if none was given.
     pub cost_hint: Time,
-    /// Expected load time of the function in tenths of a millisecond; 0, omitted on the wire, where none was given.
+    /// Expected load time of the function in tenths of a millisecond; 0, omitted on the wire, if none was
+    /// given.
     pub load_hint: Time,
-    /// Tenths of a millisecond until the client gives up, counted from the time of sending.
+    /// Tenths of a millisecond until the client stops waiting, counted from the time of sending.
     pub remaining: Time,
-    /// The client's idempotency key; empty where it gave none.
+    /// The client's idempotency key; empty if none was given.
     pub idempotency_key: &'a [u8],
     /// The request's payload.
     pub payload: &'a [u8],
 }
 
-/// Names a request without its slot.
+/// Identifies a request independently of its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestKey<'a> {
-    /// Position of its class.
+    /// The position of its class.
     pub class: usize,
     /// Its idempotency key.
     pub idempotency_key: &'a [u8],
@@ -76,11 +81,11 @@
 /// A request's final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalResponse<'a> {
-    /// The request's slot; none for a request that ended before the snapshot began.
+    /// The request's slot; `None` for a request that ended before the snapshot began.
     pub slot: Option<usize>,
-    /// The request's class and key, where the receiver may not know the slot.
+    /// The request's class and key, if the receiver may not know the slot.
     pub request: Option<RequestKey<'a>>,
-    /// What the client was told.
+    /// The disposition of the response.
     pub disposition: Disposition,
     /// The response's payload.
     pub payload: &'a [u8],
@@ -89,12 +94,13 @@
 /// One change of the state that the peer needs for a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicationRecord<'a> {
-    /// Opens replication on a connection: what was replicated before is void.
+    /// Starts replication on a connection: the receiver discards requests replicated before, and stored
+    /// responses unless only changes follow.
     SnapshotStarted {
-        /// The receiver knows all responses up to now already: only changes follow, and no snapshot.
+        /// The receiver already knows all responses up to now: only changes follow, and no snapshot.
         only_changes: bool,
-        /// For so many tenths of a millisecond more a request that is sent again may have been in flight in an incarnation
-        /// that ended and replicated it to nobody; 0, omitted on the wire, where there is none.
+        /// For this many tenths of a millisecond a repeated request may have been in flight at an incarnation
+        /// that ended without replicating it; 0, omitted on the wire, if there was no such incarnation.
         history_unknown: Time,
     },
     /// A request was admitted, or is part of the snapshot.
@@ -108,13 +114,13 @@
         /// The worker's name.
         worker: &'a str,
     },
-    /// An attempt ended without giving the final response.
+    /// An attempt ended without providing the final response.
     AttemptEnded {
         /// The request's slot.
         slot: usize,
         /// The attempt's number among those of the request, from 0.
         attempt: u64,
-        /// Its end proves that the worker did not execute it.
+        /// Whether its outcome proves that the worker did not execute it.
         not_executed: bool,
     },
     /// A request has its final response, or had it before the snapshot began.
@@ -124,9 +130,9 @@
         /// The request's slot.
         slot: usize,
     },
-    /// A worker was asked to load instances, which counts against the limit of load requests.
+    /// A load request was sent to a worker, which counts against the limit of load requests.
     LoadRequested {
-        /// Tenths of a millisecond since then.
+        /// Tenths of a millisecond since the load request.
         age: Time,
     },
     /// The snapshot is complete.
@@ -134,8 +140,9 @@
 }
 
 impl<'a> ReplicationRecord<'a> {
-    /// Whether the record speaks of one request's progress (not of the snapshot, of an abandoned request or of load
-    /// requests). These are the records that an audit withholds to see that their loss is noticed.
+    /// Whether the record reports the progress of one request (and not the snapshot's start or end, an
+    /// abandoned request or a load request). A test withholds these records to check that an audit detects
+    /// their loss.
     pub fn is_request_progress(&self) -> bool {
         matches!(
             self,
@@ -188,10 +195,11 @@
         .end();
     }
 
-    /// Reads a record from the fields of a frame.
+    /// Decodes a record from the fields of a frame.
     ///
     /// # Errors
-    /// A field is missing, malformed or out of range, a class is not in `names`, or the frame is of another kind.
+    /// A field is missing, malformed or out of range, a class is not in `names`, or the frame is of another
+    /// kind.
     pub fn decode(
         fields: &Fields<'a>,
         names: RecordNames,
@@ -207,7 +215,8 @@
             }
             kind::LAUNCHED => ReplicationRecord::AttemptStarted {
                 slot,
-                // Receivers count attempts by themselves, in the order of their records: it never refused a frame.
+                // Receivers number attempts by the order of their records, so a missing or malformed number
+                // is no error.
                 attempt: fields.whole(Field::Launch).unwrap_or_default(),
                 worker: fields.text(Field::Name)?,
             },
@@ -261,7 +270,7 @@
             .bytes(Field::Payload, self.payload)
     }
 
-    // The order in which fields are read decides which of several faults the peer is told.
+    // The order in which fields are decoded determines which of several errors is reported to the peer.
     fn decode(
         fields: &Fields<'a>,
         slot: usize,
--- a/crates/tidewall-gateway/src/failover/replication.rs
+++ b/crates/tidewall-gateway/src/failover/replication.rs
@@ -1,10 +1,11 @@
-//! What the worker pool replicates: a record for each change of a request in flight, written before the change has an
-//! effect outside the gateway. Where a second execution may do harm, the effect itself (sending an attempt or a response)
-//! is held back until the peer has acknowledged the record: then the peer never takes over a request without knowing of
-//! its attempts, and no client has a response that the peer could contradict. A failure of which the peer knows enough to
-//! report it too is sent at once.
+//! Replication of the worker pool's changes: a record for each change of a request in flight, written before
+//! the change takes effect outside the gateway. If a second execution may be harmful, the effect itself
+//! (sending an attempt or a response) is held back until the peer has acknowledged the record. The peer
+//! therefore never takes over a request without knowing its attempts, and no client receives a response that
+//! the peer could contradict. A failure that the peer would report as well, from the records that it already
+//! has, is sent at once.
 //!
-//! A gateway without failover has no replicator; each method then does what a single gateway does.
+//! A gateway without failover has no replicator; each method then behaves as on a single gateway.
 use super::control_messages::VoteRequest;
 use super::held_back::{DeferredAction, PendingResponse};
 use super::records::{AdmittedRequest, FinalResponse, RecordNames, ReplicationRecord, RequestKey};
@@ -15,7 +16,7 @@
 use tidewall_failover::recovery::fails_at_takeover;
 use tidewall_net::{Net, Time};
 
-/// The record of a request in flight as it stands now.
+/// Builds the record of a request in flight, with the time left until its deadline at `now`.
 pub(super) fn admitted_request<'a>(
     slot: usize,
     request: &'a PendingRequest,
@@ -40,7 +41,7 @@
 }
 
 impl<N: Net> WorkerPool<N> {
-    /// A request was admitted to this slot.
+    /// Records that a request was admitted to this slot.
     pub(crate) fn replicate_admission(&mut self, slot: usize) {
         let Some(replicator) = &mut self.replicator else {
             return;
@@ -62,8 +63,8 @@
         );
     }
 
-    /// An attempt is ready to be sent. It is recorded first, and held back until that is acknowledged where a second
-    /// execution might do harm or two at once are barred.
+    /// Records an attempt before it is sent. The attempt is held back until the record is acknowledged if a
+    /// second execution may be harmful, or if two attempts must not be executed concurrently.
     pub(crate) fn replicate_attempt(&mut self, slot: usize, attempt: usize, call: usize) {
         let Some(replicator) = &mut self.replicator else {
             return;
@@ -91,7 +92,8 @@
         }
     }
 
-    /// An attempt ended. Where the outcome proves that it was not executed, a takeover may repeat it.
+    /// Records the end of an attempt. If the outcome proves that it was not executed, a takeover may repeat
+    /// it.
     pub(crate) fn replicate_attempt_end(&mut self, slot: usize, attempt: usize) {
         let Some(replicator) = &mut self.replicator else {
             return;
@@ -112,8 +114,8 @@
         }
     }
 
-    /// A request has its final response. Gives it back where it may be sent at once; else it is held back until the
-    /// record is acknowledged.
+    /// Records the final response of a request. Returns the response if it may be sent at once; otherwise it
+    /// is held back until the record is acknowledged.
     pub(crate) fn replicate_response(
         &mut self,
         response: &LocalResponse,
@@ -165,7 +167,7 @@
         Some(pending)
     }
 
-    /// The client of the request in this slot abandoned it.
+    /// Records that the client of the request in this slot abandoned it.
     pub(crate) fn replicate_abandonment(&mut self, slot: usize) {
         let now = self.net.now();
         let Some(replicator) = &mut self.replicator else {
@@ -185,8 +187,8 @@
         );
     }
 
-    /// Whether a load request is within the limit that both gateways share; it is counted and recorded then. A request
-    /// for no instances is not limited.
+    /// Returns whether a load request is within the limit that both gateways share; if so, it is counted and
+    /// recorded. A request for 0 instances is not limited.
     pub(crate) fn admit_load_request(&mut self, instances: u32) -> bool {
         let now = self.net.now();
         let Some(replicator) = &mut self.replicator else {
@@ -207,7 +209,8 @@
         true
     }
 
-    /// Sends a load request, held back until its record is acknowledged: the peer's limit might not count it otherwise.
+    /// Sends a load request, held back until its record is acknowledged; otherwise the peer's limit might not
+    /// count it.
     pub(crate) fn send_when_recorded(&mut self, call: usize, instances: u32) {
         let now = self.net.now();
         match &mut self.replicator {
@@ -219,7 +222,8 @@
         }
     }
 
-    /// Removes one of several clients that wait for the same request; false where it is the only one.
+    /// Removes one of several clients that wait for the same request; returns false if no other client waits
+    /// for it.
     pub(crate) fn remove_waiting_client(&mut self, slot: usize, client: ReplyHandle) -> bool {
         let Some(request) = self.requests.get_mut(slot).filter(|request| request.open) else {
             return false;
@@ -236,7 +240,7 @@
         has_others
     }
 
-    /// Writes the vote request of a call into the frame buffer.
+    /// Encodes the vote request of a call into the frame buffer.
     pub(crate) fn encode_vote(&mut self, call_id: u64, ballot: u64, accepting: bool) {
         let Some(replicator) = &self.replicator else {
             return;
--- a/crates/tidewall-gateway/src/failover/responses.rs
+++ b/crates/tidewall-gateway/src/failover/responses.rs
@@ -1,5 +1,5 @@
-//! Delivery of responses, and of all else that failover leaves for the end of an event: calls and responses whose records
-//! were acknowledged, missing votes, a rejected epoch, an overflowed connection.
+//! Delivery of responses, and of the other outcomes that failover defers to the end of an event: calls and
+//! responses whose records were acknowledged, missing votes, a rejected epoch, an overflowed connection.
 use super::held_back::{DeferredAction, PendingResponse};
 use super::{RetryingClient, StopReason, FENCING_RETRY_AFTER};
 use crate::ingress::{Disposition, Response, LATE_RESPONSE_GRACE, NO_CLIENT};
@@ -11,8 +11,9 @@
 use tracing::debug;
 
 impl<N: Net> Gateway<N> {
-    /// Sends a request's final response to its client and to all that sent it again; with failover, at once or when it is
-    /// recorded. The slot may serve another request after that.
+    /// Sends a request's final response to its client and to all clients that repeated it. With failover it
+    /// may be held back until its record is acknowledged. The slot may be reused for another request after
+    /// this call.
     pub(crate) fn send_final_response(&mut self, response: &LocalResponse, payload: &[u8]) {
         let host = &mut self.context.scheduler.host;
         if host.replicator.is_some() {
@@ -24,7 +25,8 @@
         self.send_to_client(response, payload);
     }
 
-    /// Sends a response to each client whose deadline has not passed.
+    /// Sends a response to each of its clients, except those whose deadline passed more than
+    /// [`LATE_RESPONSE_GRACE`] ago.
     fn send_pending_response(&mut self, pending: PendingResponse) {
         let host = &mut self.context.scheduler.host;
         let now = host.net.now();
@@ -52,15 +54,15 @@
         }
     }
 
-    /// Delivers one outcome of failover; false where none is left. The order in which the
-    /// kinds are looked at decides the order of writes.
+    /// Delivers one deferred outcome of failover; returns false if none is left. The order in which the kinds
+    /// are checked determines the order of writes.
     pub(crate) fn deliver_failover_outcome(&mut self) -> bool {
         let host = &mut self.context.scheduler.host;
         let now = host.net.now();
         let Some(replicator) = &mut host.replicator else {
             return false;
         };
-        if let Some(action) = replicator.next_recorded(now) {
+        if let Some(action) = replicator.next_ready_action(now) {
             self.run_deferred_action(action);
         } else if let Some(response) = replicator.ready_responses.pop_front() {
             self.send_pending_response(response);
@@ -87,7 +89,7 @@
         true
     }
 
-    /// Looks for responses whose clients can wait no longer for the peer's acknowledgement.
+    /// Gives up responses whose clients cannot wait any longer for the peer's acknowledgement.
     pub(crate) fn give_up_records(&mut self) {
         let host = &mut self.context.scheduler.host;
         let now = host.net.now();
@@ -105,11 +107,11 @@
         match action {
             DeferredAction::SendCall { call, generation } => {
                 let host = &mut self.context.scheduler.host;
-                let waits = host
+                let still_waiting = host
                     .calls
                     .get(call)
                     .is_some_and(|call| call.generation == generation && !call.ended);
-                if waits {
+                if still_waiting {
                     host.assign_connection(call);
                 }
             }
@@ -117,22 +119,22 @@
         }
     }
 
-    /// A client sent a request that the peer has in flight: it waits for that one's response.
+    /// Lets a client that repeated a request in flight at the peer wait for the response to that request.
     fn await_peer_request(&mut self, slot: usize, client: RetryingClient) {
         let now = self.context.net().now();
         let node = self.failover.as_mut();
         let request = node.and_then(|node| node.state.peer_requests.get_mut(slot));
         let (waiting, disposition, retry_after) = match request {
             Some(request) => {
-                let waiting = client.joining(request.deadline);
+                let waiting = client.joined_wait(request.deadline);
                 if now < waiting.1 {
                     return request.clients.push(waiting);
                 }
                 (waiting, Disposition::Failed, 0)
             }
-            // It ended in the same wake-up; whoever still wants it sends it again.
+            // The request ended in the same wake-up; the client may retry.
             None => (
-                client.joining(now),
+                client.joined_wait(now),
                 Disposition::Rejected,
                 FENCING_RETRY_AFTER,
             ),
@@ -142,7 +144,7 @@
         self.send_pending_response(response);
     }
 
-    /// Tells the role state machine once a gateway that no longer serves has nothing left to do.
+    /// Informs the role state machine when a gateway that no longer serves has completed all its requests.
     fn finish_draining(&mut self) {
         let Some(node) = &self.failover else {
             return;
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Clients that are still connected are to find the gateway that serves now.
+    /// Aborts the connections of all clients, so that they connect to the gateway that serves.
     fn close_client_connections(&mut self) {
         if let Some(replicator) = &mut self.context.scheduler.host.replicator {
             replicator.epoch = 0;
--- a/crates/tidewall-gateway/src/failover/role_actions.rs
+++ b/crates/tidewall-gateway/src/failover/role_actions.rs
@@ -1,4 +1,4 @@
-//! What the role state machine decides, carried out on the gateway.
+//! Carries out the decisions of the role state machine on the gateway.
 use super::control_messages::PeerControl;
 use super::records::{RecordNames, ReplicationRecord};
 use super::replicator::Replicator;
@@ -11,7 +11,7 @@
 use tidewall_net::{Net, Time};
 use tracing::{info, warn};
 
-/// The gateway, from which the failover node was taken out, and the node's state.
+/// The gateway, without its failover node, and the state of that node.
 pub(super) struct GatewayActions<'a, N: Net> {
     pub gateway: &'a mut Gateway<N>,
     pub state: &'a mut FailoverState,
@@ -35,30 +35,33 @@
     }
 
     /// Whether requests of an earlier takeover wait until the workers of their attempts are fenced.
-    fn requests_await_fence(&self) -> bool {
+    fn requests_await_fencing(&self) -> bool {
         self.state.recovering && !self.state.peer_requests.is_empty()
     }
 
-    /// Lets the voters count the peer as synchronised once it has recorded all that was under way when it was joined. Requests of
-    /// an earlier takeover that wait for a fence are in no snapshot: until they are continued or ended the peer does not hold
-    /// all state, so the voters may not count it, nor may this member step down in its favour.
+    /// Proposes the peer to the voters as synchronised once it has acknowledged all records written before
+    /// calls and responses began to wait for it. Requests of an earlier takeover that wait for fencing are in
+    /// no snapshot: until they are continued or ended, the peer does not hold all state. The voters must not
+    /// count it as synchronised before that, and this member must not step down in its favour.
     pub(super) fn confirm_synchronized(&mut self, role_machine: &mut RoleStateMachine) {
         let acknowledged = self.replicator().acknowledged_sequence;
         let caught_up = acknowledged >= self.state.link.wait_start_sequence;
-        if role_machine.state() == Role::Synchronizing && caught_up && !self.requests_await_fence()
+        if role_machine.state() == Role::Synchronizing
+            && caught_up
+            && !self.requests_await_fencing()
         {
             role_machine.replication_caught_up(self);
         }
     }
 
-    /// What each tick moves on, after the role state machine has seen it.
+    /// Periodic work of each tick, after the role state machine has handled the tick.
     pub(super) fn after_tick(&mut self, role_machine: &mut RoleStateMachine, now: Time) {
         if self.state.listeners_pending {
             self.gateway.open_listeners(self.state);
         }
         self.confirm_synchronized(role_machine);
         self.gateway.update_fencing_complete(self.state);
-        let requests_wait = self.requests_await_fence();
+        let requests_wait = self.requests_await_fencing();
         let replicator = self.replicator();
         let history_unknown =
             now < replicator.history_unknown_until && !replicator.all_workers_fenced;
@@ -77,9 +80,9 @@
 }
 
 impl<N: Net> RoleActions for GatewayActions<'_, N> {
-    fn set_vrrp_enabled(&mut self, on: bool) {
+    fn set_vrrp_enabled(&mut self, enabled: bool) {
         let net = &mut self.gateway.context.scheduler.host.net;
-        self.state.set_vrrp_enabled(net, on);
+        self.state.set_vrrp_enabled(net, enabled);
     }
 
     fn start_serving(&mut self, leadership: Leadership, take_over: bool, history_unknown: bool) {
@@ -123,9 +126,9 @@
         self.gateway.stop_listening();
     }
 
-    fn set_replication_wait(&mut self, on: bool) {
+    fn set_replication_wait(&mut self, enabled: bool) {
         let replicator = self.replicator();
-        replicator.waits_for_records = on;
+        replicator.waits_for_records = enabled;
         self.state.link.wait_start_sequence = replicator.last_sequence;
     }
 
@@ -136,7 +139,8 @@
         };
         replicator.streaming = true;
         replicator.sequence_base = replicator.last_sequence - replicator.sent_on_connection;
-        // What was numbered before is part of the snapshot, or known to the peer.
+        // Earlier records are covered by the snapshot or already known to the peer, so they need no
+        // acknowledgement.
         replicator.acknowledged_sequence = replicator.last_sequence;
         replicator.snapshot_incomplete = !only_changes;
         let history_unknown = replicator
@@ -168,7 +172,7 @@
 
     fn restart_process(&mut self, reason: &'static str) {
         warn!(reason, "process restarting");
-        // After a shutdown was requested the process is not to start again.
+        // If a shutdown was requested, the process must not restart.
         if !self.state.shutting_down {
             self.gateway.stop_reason = StopReason::Restart;
         }
@@ -182,7 +186,8 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// Listens for clients. The former owner of the address may still hold it: then it is tried again with the next tick.
+    /// Listens for clients. If the former owner still holds the address, listening is retried with the next
+    /// tick.
     fn open_listeners(&mut self, state: &mut FailoverState) {
         state.listeners_pending = false;
         for ingress in 0..self.ingresses.len() {
--- a/crates/tidewall-gateway/src/failover/snapshot.rs
+++ b/crates/tidewall-gateway/src/failover/snapshot.rs
@@ -1,6 +1,7 @@
-//! The snapshot: all requests in flight with their attempts, then all responses that are remembered, as replication
-//! records between those of changes that happen meanwhile. It is sent in parts, as far as the connection takes it, so that
-//! a large one does not hold up the event loop nor fill the connection's buffer.
+//! The snapshot for a newly connected peer: all requests in flight with their attempts, then all stored
+//! responses, as replication records interleaved with those of concurrent changes. It is sent in parts, as
+//! far as the connection has capacity, so that a large snapshot neither blocks the event loop nor fills the
+//! connection's buffer.
 use super::records::{FinalResponse, RecordNames, ReplicationRecord, RequestKey};
 use super::replication::admitted_request;
 use super::replicator::disposition_from_number;
@@ -10,25 +11,25 @@
 use tidewall_failover::deduplication::RequestLocation;
 use tidewall_net::Net;
 
-/// No more of a snapshot is written while so many bytes wait in the connection's buffer: a quarter of its bound, so that
-/// records of changes find room.
+/// The snapshot is paused while this many bytes wait in the connection's buffer: a quarter of the buffer's
+/// limit, so that there is room for records of changes.
 const MAX_UNSENT_BYTES: usize = 512 << 10;
 
-/// How far the snapshot for the peer has come.
+/// The progress of the snapshot for the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SnapshotCursor {
-    /// None is being sent.
+    /// No snapshot is being sent.
     Idle,
-    /// The requests in flight from this slot on are to be sent.
+    /// The requests in flight from this slot on remain to be sent.
     Requests(usize),
-    /// The remembered responses from this entry of the deduplication table on are to be sent.
+    /// The stored responses from this entry of the deduplication table on remain to be sent.
     Responses(usize),
-    /// All was sent; the record of this number was the last.
+    /// The whole snapshot was sent; its last record has this number.
     Sent(u64),
 }
 
 impl<N: Net> Gateway<N> {
-    /// Sends as much of the snapshot as the connection takes now.
+    /// Sends as much of the snapshot as the connection has capacity for.
     pub(super) fn send_pending_snapshot(&mut self, state: &mut FailoverState) {
         let pool = &mut self.context.scheduler.host;
         while let Some(next) = pool.send_snapshot_part(state.link.snapshot) {
@@ -38,7 +39,7 @@
 }
 
 impl<N: Net> WorkerPool<N> {
-    /// Sends one part of the snapshot and gives back how far it has come; none where there is nothing to be sent now.
+    /// Sends one part of the snapshot and returns the new progress; `None` if nothing can be sent at present.
     fn send_snapshot_part(&mut self, cursor: SnapshotCursor) -> Option<SnapshotCursor> {
         let replicator = self.replicator.as_ref()?;
         let conn = replicator.conn.filter(|_| replicator.streaming)?;
@@ -71,7 +72,7 @@
         let admitted = admitted_request(slot, request, function, now);
         let record = ReplicationRecord::RequestAdmitted(admitted);
         replicator.send_record(&mut self.net, &record, names);
-        // All attempts, also those that ended: the peer counts attempts by their order.
+        // Includes attempts that ended, because the peer numbers attempts by their order.
         for (attempt, worker, not_executed) in attempts {
             let attempt = attempt as u64;
             let record = ReplicationRecord::AttemptStarted {
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Sends the first remembered response from this entry on, or that the snapshot is complete.
+    /// Sends the stored response of the next entry at or after `from`, if that entry has one, or the record
+    /// that completes the snapshot if there is no further entry.
     fn send_response_snapshot(&mut self, from: usize) -> Option<SnapshotCursor> {
         let replicator = self.replicator.as_mut()?;
         let names = RecordNames::new(&self.class_names, &self.tenant_names);
--- a/crates/tidewall-gateway/src/failover/status.rs
+++ b/crates/tidewall-gateway/src/failover/status.rs
@@ -1,16 +1,17 @@
-//! What others are told of a member: the reply to `tidewall status`, and its number.
+//! The reply to `tidewall status`, and the highest incarnation of this member that voters know.
 use super::control_messages::GatewayStatus;
 use crate::Gateway;
 use tidewall_net::{Conn, Net};
 
 impl<N: Net> Gateway<N> {
-    /// The highest incarnation of this member of a pair that voters know, its own included; 0 without failover.
+    /// The highest incarnation of this member that the voters know, including the current one; 0 without
+    /// failover.
     pub fn newest_own_incarnation(&self) -> u64 {
         let node = self.failover.as_ref();
         node.map_or(0, |node| node.role_machine.newest_own_incarnation())
     }
 
-    /// Sends this gateway's status. Without failover there is none.
+    /// Sends this gateway's status. Does nothing without failover.
     pub(super) fn send_status(&mut self, conn: Conn) {
         let host = &self.context.scheduler.host;
         let (Some(node), Some(replicator)) = (&self.failover, &host.replicator) else {
--- a/crates/tidewall-gateway/src/failover/takeover.rs
+++ b/crates/tidewall-gateway/src/failover/takeover.rs
@@ -1,6 +1,7 @@
-//! Recovery of the requests that the peer had in flight when this gateway began to serve. Each is continued as if it had
-//! just come, waits until the workers of its attempts are fenced, or ends as failed or rejected: the decision is
-//! `recovery::fate`, by what a second execution may do and what is known of the attempts.
+//! Recovery of the requests that the peer had in flight when this gateway started serving. Each of them is
+//! continued like a request that was just received, waits until the workers of its attempts are fenced, or
+//! ends as failed or rejected. [`recovery::recovery_action`] decides by the request's retry safety, its
+//! deadline and the known outcomes of its attempts.
 use super::peer_requests::ReplicatedRequest;
 use super::{FailoverState, FENCING_RETRY_AFTER};
 use crate::ingress::{Disposition, IncomingRequest, ReplyHandle, NO_CLIENT};
@@ -10,7 +11,8 @@
 use tidewall_net::{Net, Time};
 
 impl<N: Net> Gateway<N> {
-    /// Continues or ends what the peer had in flight, as far as that may be by now.
+    /// Continues or ends the requests that the peer had in flight, except for those that wait until the
+    /// workers of their attempts are fenced.
     pub(super) fn take_over_requests(&mut self, state: &mut FailoverState) {
         let now = self.context.net().now();
         let mut awaits_fencing = false;
@@ -43,7 +45,7 @@
         let host = &self.context.scheduler.host;
         let replicator = host.replicator.as_ref()?;
         let request = state.peer_requests.get(slot)?;
-        // A worker that is gone executes nothing any more.
+        // A removed worker no longer executes attempts.
         let fenced = |worker: usize| {
             let entry = host.workers.get(worker);
             let removed = entry.is_none_or(|entry| entry.state() == EndpointState::Removed);
@@ -81,10 +83,10 @@
             payload: &request.payload,
         });
         let replicator = self.context.expect_replicator();
-        // It was counted when its record came.
+        // The request was already counted when its record was received.
         replicator.load_request_limiter.undo_last_request();
         if has_clients {
-            // Where it has its response already, the slot is passed by when clients' deadlines are looked at.
+            // If the request already has its response, `expire_waiting_clients` removes the slot.
             replicator.shared_requests.push(slot);
         }
     }
@@ -100,13 +102,14 @@
         replicator.ready_responses.push_back(response);
     }
 
-    /// Clients that sent a request again, and whose deadline is near, get a response now, whatever becomes of the request.
+    /// Sends a failure to each client that joined a request in flight and whose deadline is near, as the
+    /// response to the request might come too late for it.
     pub(super) fn expire_waiting_clients(&mut self, state: &mut FailoverState) {
         let host = &mut self.context.scheduler.host;
         let Some(replicator) = &mut host.replicator else {
             return;
         };
-        // Looked at once a tick, so with room for one tick, and for the response's way back.
+        // This runs once per tick, so the horizon leaves time for one tick and for sending the response.
         let horizon =
             host.net.now() + state.config.tick_interval() + 2 * recovery::MIN_REMAINING_TIME;
         let mut expired = Vec::new();
@@ -131,7 +134,7 @@
     }
 }
 
-/// Moves the clients whose deadline is not after `horizon`; both parts keep their order.
+/// Moves the clients whose deadline is not after `horizon` to `expired`. Both lists keep their order.
 fn move_expired(
     clients: &mut Vec<(ReplyHandle, Time)>,
     horizon: Time,
--- a/crates/tidewall-gateway/src/failover/voting.rs
+++ b/crates/tidewall-gateway/src/failover/voting.rs
@@ -1,6 +1,7 @@
-//! Votes of workers on who may serve, and fencing. Some workers are voters: a proposal needs a majority of them. All
-//! workers are told the accepted leadership, as each refuses from then on what the other gateway sends under an epoch
-//! below the fencing floor. A worker that has accepted counts as fenced.
+//! Votes of workers on leadership proposals, and fencing. Some workers are voters: a proposal needs a
+//! majority of them. The granted leadership is announced to all workers, and each worker that accepts it
+//! rejects from then on calls of the other gateway under an epoch below the fencing floor. Such a worker
+//! counts as fenced.
 use super::control_messages::VoteReply;
 use super::replicator::{MissingVote, VoteRound};
 use super::role_actions::GatewayActions;
@@ -27,7 +28,7 @@
         self.by_worker.get(worker).copied().unwrap_or(false)
     }
 
-    /// False where it was in already.
+    /// Adds a worker; returns false if it was already contained.
     fn insert(&mut self, worker: usize) -> bool {
         if self.by_worker.len() <= worker {
             self.by_worker.resize(worker + 1, false);
@@ -41,7 +42,7 @@
 }
 
 impl<N: Net> GatewayActions<'_, N> {
-    /// Sends a vote request to a worker, whose vote counts for `voter`, if it is one.
+    /// Sends a vote request to a worker; `voter` is its index among the voters, if it is one.
     fn request_vote(&mut self, worker: usize, voter: Option<usize>, round: VoteRound) {
         let host = &mut self.gateway.context.scheduler.host;
         let expires_at = host.net.now() + self.state.config.silence_limit();
@@ -54,8 +55,8 @@
         host.assign_connection(call);
     }
 
-    /// Sends a vote request to a voter. One without an address is told to the role state machine as missing, but after
-    /// the step that it is in.
+    /// Sends a vote request to a voter. If the voter has no address, its vote is reported to the role state
+    /// machine as missing, but only after the current event, as the state machine is in the middle of a step.
     fn request_voter(&mut self, voter: usize, round: VoteRound) {
         let host = &self.gateway.context.scheduler.host;
         let epoch = epoch_number(round.ballot);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Tells all workers that are not fenced yet who serves, not only the voters.
+    /// Announces the leadership to all workers that are not fenced yet, not only to the voters.
     pub(super) fn announce_leadership(&mut self, leadership: Leadership) {
         self.replicator().leadership = leadership;
         let round = VoteRound {
@@ -106,7 +107,8 @@
 }
 
 impl<N: Net> Gateway<N> {
-    /// A voter's vote will not come; `round` is its ballot and whether it was asked to accept.
+    /// Queues the report that a worker will not reply to a vote request, if it is a voter. The last parameter
+    /// is the ballot, and whether the worker was asked to accept.
     pub(crate) fn vote_missing(&mut self, voter: Option<usize>, (ballot, accepting): (u64, bool)) {
         let replicator = &mut self.context.scheduler.host.replicator;
         if let (Some(voter), Some(replicator)) = (voter, replicator) {
@@ -117,17 +119,19 @@
         }
     }
 
-    /// A worker rejected our epoch: the role state machine is told with the next deferred outcomes.
+    /// Notes that a worker rejected this gateway's epoch; the role state machine is informed with the next
+    /// deferred outcomes.
     pub(crate) fn epoch_rejected(&mut self) {
         if let Some(replicator) = &mut self.context.scheduler.host.replicator {
             replicator.epoch_rejected = true;
         }
     }
 
-    /// A worker replied to a vote request. A reply to a call that is over still fences the worker.
+    /// Handles a worker's reply to a vote request. A reply to a call that has already ended still fences the
+    /// worker.
     ///
     /// # Errors
-    /// The reply is malformed, or names a call of another connection.
+    /// The reply is malformed, or refers to a call of another connection.
     pub(crate) fn vote_received(
         &mut self,
         connection: usize,
@@ -159,9 +163,9 @@
                 role_machine.vote_received(now, actions, voter, round, granted, acceptor);
             }
             let accepted = acceptor.accepted;
-            let is_ours =
+            let accepts_this_member =
                 accepted.epoch >= role_machine.epoch() && accepted.member == actions.state.member;
-            if accepting && granted && is_ours {
+            if accepting && granted && accepts_this_member {
                 let newly_fenced = actions.state.fenced_workers.insert(worker);
                 if newly_fenced && actions.state.recovering {
                     actions.gateway.take_over_requests(actions.state);
@@ -171,7 +175,7 @@
         Ok(())
     }
 
-    /// Looks whether no worker executes anything of earlier epochs any more.
+    /// Updates whether all workers are fenced or removed, so that none executes attempts of earlier epochs.
     pub(super) fn update_fencing_complete(&mut self, state: &FailoverState) {
         let host = &mut self.context.scheduler.host;
         let all_fenced = host.workers.iter().enumerate().all(|(index, worker)| {
--- a/crates/tidewall-gateway/src/failover/vrrp.rs
+++ b/crates/tidewall-gateway/src/failover/vrrp.rs
@@ -1,7 +1,9 @@
-//! VRRP on behalf of the gateway: advertisements, its one timer, and its verdict on who wants to serve. The rules are
-//! those of `tidewall-vrrp`; the verdict is passed on to the role state machine, which alone decides who serves.
+//! VRRP on the gateway: its advertisements, its one timer, and its transitions to Active and Backup. The
+//! protocol is implemented in `tidewall-vrrp`; transitions are passed to the role state machine, which alone
+//! decides whether this gateway serves.
 //!
-//! Advertisements are authenticated and numbered, since whoever forges one could take the shared address away.
+//! Advertisements are authenticated and numbered, because a forged one could move the shared address to
+//! another host.
 use super::{FailoverConfig, FailoverState};
 use crate::error::StartError;
 use crate::timers::TimerToken;
@@ -13,37 +15,39 @@
 use tidewall_vrrp::{Parameters, Router, VrrpActions};
 use tracing::warn;
 
-/// Rejected advertisements are logged once in this time at most (a second): a forger must not fill the log.
+/// The minimum time between log messages about rejected advertisements (1 s), so that forged packets cannot
+/// flood the log.
 const REJECTION_LOG_INTERVAL: Time = 10_000;
 
-/// Advertisements are numbered from the incarnation times 2 to the power of this. Incarnations are told in milliseconds,
-/// so the numbers of a start are above those of the one before.
+/// Advertisements are numbered from the incarnation, shifted left by this many bits. An incarnation is a time
+/// in milliseconds, so the numbers after a restart are higher than those before it.
 const INCARNATION_SHIFT: u32 = 20;
 
-/// What VRRP concluded from the advertisements that came or stayed away.
+/// A transition of the VRRP router, caused by received or missing advertisements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum VrrpVerdict {
+pub(super) enum VrrpTransition {
     /// This gateway should serve.
     Active,
     /// The peer should serve.
     Backup,
 }
 
-/// The state of VRRP at this gateway.
+/// The VRRP state of this gateway.
 pub(super) struct VrrpState {
     router: Router,
     keys: Keys,
     replay_guard: ReplayGuard,
     pub socket: DatagramSocket,
-    /// Counts advertisements sent, for the peer's replay guard.
+    /// The sequence number of the last advertisement sent, for the peer's replay guard.
     advertisement_number: u64,
     timer: Option<TimerId>,
-    /// A verdict that the role state machine has not heard yet.
-    pub verdict: Option<VrrpVerdict>,
-    /// How long the process had stood still in all when the timer fired last.
+    /// A transition that has not been passed to the role state machine yet.
+    pub pending_transition: Option<VrrpTransition>,
+    /// The total stall of the process when the timer fired last.
     total_stall: Time,
-    /// Advertisements that were rejected, and when one was logged.
+    /// The number of rejected advertisements.
     pub rejected: u64,
+    /// When a rejected advertisement was logged last.
     rejection_logged_at: Time,
 }
 
@@ -68,7 +72,7 @@
             socket,
             advertisement_number: config.incarnation << INCARNATION_SHIFT,
             timer: None,
-            verdict: None,
+            pending_transition: None,
             total_stall,
             rejected: 0,
             rejection_logged_at: 0,
@@ -79,7 +83,7 @@
         self.keys = (config.keys)();
     }
 
-    /// Lets the router act: sends its advertisements, sets its timer and keeps its verdict.
+    /// Runs `act` on the router, which may send advertisements, set its timer and store a transition.
     pub fn with_router<N: Net>(
         &mut self,
         config: &FailoverConfig,
@@ -93,7 +97,7 @@
             socket: self.socket,
             advertisement_number: &mut self.advertisement_number,
             timer: &mut self.timer,
-            verdict: &mut self.verdict,
+            pending_transition: &mut self.pending_transition,
         };
         act(&mut self.router, &mut actions);
     }
@@ -101,7 +105,7 @@
     fn timer_fired<N: Net>(&mut self, config: &FailoverConfig, net: &mut N) {
         self.timer = None;
         let total_stall = net.total_stall();
-        // While the process stood still it heard nothing, which says nothing about the peer.
+        // During a stall the process received no advertisements, which says nothing about the peer.
         let stalled = total_stall > mem::replace(&mut self.total_stall, total_stall);
         self.with_router(config, net, |router, actions| {
             if stalled && router.state() == tidewall_vrrp::State::Backup {
@@ -121,13 +125,14 @@
     ) {
         let shared = [ipv4_of(config.shared_address)];
         let sender = ipv4_of(from);
-        // The hash does not cover the sender: a packet that was overheard must not come from elsewhere.
-        let read = if sender == ipv4_of(config.peer_vrrp_address) {
+        // The hash does not cover the sender's address, so a captured packet could be sent from another
+        // address.
+        let received = if sender == ipv4_of(config.peer_vrrp_address) {
             packet::receive(bytes, sender, &shared, &self.keys, &mut self.replay_guard)
         } else {
             Err(PacketError::UnexpectedSender)
         };
-        match read {
+        match received {
             Ok(advertisement) if advertisement.vrid == config.vrid => {
                 self.with_router(config, net, |router, actions| {
                     router.advertisement_received(actions, advertisement)
@@ -148,7 +153,7 @@
     }
 }
 
-/// What the router may do, on the parts of the gateway that it touches.
+/// The actions of the router, with the parts of the gateway that they use.
 pub(super) struct RouterActions<'a, N: Net> {
     net: &'a mut N,
     config: &'a FailoverConfig,
@@ -156,7 +161,7 @@
     socket: DatagramSocket,
     advertisement_number: &'a mut u64,
     timer: &'a mut Option<TimerId>,
-    verdict: &'a mut Option<VrrpVerdict>,
+    pending_transition: &'a mut Option<VrrpTransition>,
 }
 
 impl<N: Net> VrrpActions for RouterActions<'_, N> {
@@ -176,9 +181,9 @@
             .send_datagram(self.socket, self.config.peer_vrrp_address, &datagram);
     }
 
-    fn set_timer(&mut self, vrid: u8, wait: Time) {
+    fn set_timer(&mut self, vrid: u8, delay: Time) {
         self.cancel_timer(vrid);
-        let at = self.net.now() + wait;
+        let at = self.net.now() + delay;
         *self.timer = Some(self.net.set_timer(at, TimerToken::Vrrp.pack()));
     }
 
@@ -189,15 +194,15 @@
     }
 
     fn become_active(&mut self, _vrid: u8, _accept: bool) {
-        *self.verdict = Some(VrrpVerdict::Active);
+        *self.pending_transition = Some(VrrpTransition::Active);
     }
 
     fn become_backup(&mut self, _vrid: u8) {
-        *self.verdict = Some(VrrpVerdict::Backup);
+        *self.pending_transition = Some(VrrpTransition::Backup);
     }
 }
 
-/// The address without its port; unspecified for IPv6, which the settings refuse.
+/// The IPv4 address without its port; unspecified for IPv6, which the validation of settings rejects.
 pub(super) fn ipv4_of(address: SocketAddr) -> Ipv4Addr {
     match address.ip() {
         IpAddr::V4(address) => address,
@@ -206,7 +211,8 @@
 }
 
 impl FailoverState {
-    /// Starts or ends taking part in VRRP. Where it ends as the active one it says so to the peer (priority 0).
+    /// Starts or shuts down the VRRP router. An Active router advertises priority 0 to the peer when it shuts
+    /// down.
     pub(super) fn set_vrrp_enabled<N: Net>(&mut self, net: &mut N, enabled: bool) {
         self.vrrp.with_router(&self.config, net, |router, actions| {
             if enabled {
@@ -216,8 +222,8 @@
             }
         });
         if !enabled {
-            // The role state machine has caused it and knows.
-            self.vrrp.verdict = None;
+            // The role state machine requested the shutdown, so it needs no report of the transition.
+            self.vrrp.pending_transition = None;
         }
     }
 }
@@ -241,7 +247,7 @@
         });
     }
 
-    /// VRRP advertisements that were rejected as malformed, forged or replayed.
+    /// The number of VRRP advertisements that were rejected as malformed, forged or replayed.
     pub fn rejected_advertisements(&self) -> u64 {
         self.failover
             .as_ref()
