--- a/crates/tidewall-failover/tests/recovery.rs
+++ b/crates/tidewall-failover/tests/recovery.rs
@@ -122,12 +122,12 @@
 }
 
 /// The client of the retry waits until 20,000 at most, and in some cases until 15,000 at least.
-#[test_case(Some(15_000), 18_000, 18_000 ; "as long as the client said first")]
+#[test_case(Some(15_000), 18_000, 18_000 ; "as long as the first request allowed")]
 #[test_case(Some(15_000), 14_000, 15_000 ; "at least for the time that is certain")]
-#[test_case(Some(15_000), 25_000, 15_000 ; "another client's deadline tells nothing")]
-#[test_case(None, 18_000, 18_000 ; "nothing certain, and as long as the client said first")]
-#[test_case(None, 9_000, 9_000 ; "it waits no longer")]
-#[test_case(None, 25_000, 20_000 ; "nothing certain, and no longer than it said last")]
+#[test_case(Some(15_000), 25_000, 15_000 ; "another client's deadline is ignored")]
+#[test_case(None, 18_000, 18_000 ; "nothing certain, and as long as the first request allowed")]
+#[test_case(None, 9_000, 9_000 ; "nothing certain, and an early deadline of the first request")]
+#[test_case(None, 25_000, 20_000 ; "nothing certain, and no longer than the retry allowed")]
 fn a_retry_waits_as_long_as_its_client(earliest: Option<u64>, in_flight: u64, expected: u64) {
     assert_eq!(retry_deadline(earliest, 20_000, in_flight), expected);
 }
--- a/crates/tidewall-gateway/src/failover/duplicates.rs
+++ b/crates/tidewall-gateway/src/failover/duplicates.rs
@@ -117,7 +117,7 @@
         UnrecordedRetryAction::Reject => Disposition::Rejected,
         UnrecordedRetryAction::Fail => Disposition::Failed,
     };
-    replicator.remember_response(now, class, key, disposition, &[]);
+    replicator.store_response(now, class, key, disposition, &[]);
     let response = replicator.response_to(client, disposition, FENCING_RETRY_AFTER);
     replicator.ready_responses.push_back(response);
     true
--- a/crates/tidewall-gateway/src/failover/peer_link.rs
+++ b/crates/tidewall-gateway/src/failover/peer_link.rs
@@ -26,7 +26,7 @@
     /// A connection that this gateway opened and on which the peer's greeting has not been received yet.
     dialing: Option<Conn>,
     /// When the last message of the peer was received.
-    last_heard: Time,
+    last_message_at: Time,
     /// The total stall of the process at the last tick.
     total_stall: Time,
     /// The number of records received on this connection, and how many of them were acknowledged.
@@ -45,7 +45,7 @@
         PeerLink {
             listener,
             dialing: None,
-            last_heard: now,
+            last_message_at: now,
             total_stall,
             records_received: 0,
             records_acknowledged: 0,
@@ -60,7 +60,7 @@
     pub fn note_stall(&mut self, now: Time, total_stall: Time) {
         if total_stall > self.total_stall {
             self.total_stall = total_stall;
-            self.last_heard = now;
+            self.last_message_at = now;
         }
     }
 }
@@ -74,14 +74,16 @@
             return;
         };
         let (state, role_machine) = (&mut node.state, &mut node.role_machine);
-        let silent = now > state.link.last_heard + state.config.silence_limit();
+        let silent = now > state.link.last_message_at + state.config.silence_limit();
         match replicator.conn {
             Some(conn) if silent || replicator.is_peer_too_slow(now) => {
-                let last_heard = now - state.link.last_heard;
+                let silence = now - state.link.last_message_at;
                 let unacknowledged = replicator.last_sequence - replicator.acknowledged_sequence;
                 warn!(
                     silent,
-                    last_heard, unacknowledged, "peer is silent or too slow"
+                    last_heard = silence,
+                    unacknowledged,
+                    "peer is silent or too slow"
                 );
                 role_machine.peer_too_slow(now);
                 self.drop_peer_connection(conn);
@@ -192,7 +194,7 @@
             let link = &mut node.state.link;
             link.records_received = 0;
             link.records_acknowledged = 0;
-            link.last_heard = now;
+            link.last_message_at = now;
             let ineligible = mismatch.is_some() && node.state.member == INELIGIBLE_MEMBER;
             if let Some(setting) = &mismatch {
                 warn!(
@@ -261,7 +263,7 @@
         let Some(node) = &mut self.failover else {
             return Ok(());
         };
-        node.state.link.last_heard = now;
+        node.state.link.last_message_at = now;
         match PeerControl::decode(fields)? {
             Some(PeerControl::Heartbeat {
                 serves,
--- a/crates/tidewall-gateway/src/failover/peer_requests.rs
+++ b/crates/tidewall-gateway/src/failover/peer_requests.rs
@@ -133,7 +133,7 @@
             .request
             .map(|request| (request.class, request.idempotency_key));
         if let Some((class, key)) = from_record.or(from_slot) {
-            replicator.remember_response(now, class, key, response.disposition, response.payload);
+            replicator.store_response(now, class, key, response.disposition, response.payload);
         }
         if let Some(request) = request.filter(|request| !request.clients.is_empty()) {
             let mut pending = replicator.new_response();
@@ -197,7 +197,7 @@
                 if let Some(request) = requests.take(slot) {
                     let (class, key) = (request.class, &request.idempotency_key);
                     let may_have_executed = request.may_have_executed();
-                    replicator.remember_abandonment(now, class, key, may_have_executed);
+                    replicator.record_abandonment(now, class, key, may_have_executed);
                 }
             }
             ReplicationRecord::LoadRequested { age } => {
--- a/crates/tidewall-gateway/src/failover/replication.rs
+++ b/crates/tidewall-gateway/src/failover/replication.rs
@@ -127,7 +127,7 @@
         let request = &mut self.requests[slot];
         let class = request.info().class;
         let (key, disposition) = (request.idempotency_key(), response.disposition);
-        replicator.remember_response(now, class, key, disposition, payload);
+        replicator.store_response(now, class, key, disposition, payload);
         let request_key = RequestKey {
             class,
             idempotency_key: key,
@@ -174,7 +174,7 @@
             return;
         };
         let request = &self.requests[slot];
-        replicator.remember_abandonment(
+        replicator.record_abandonment(
             now,
             request.info().class,
             request.idempotency_key(),
--- a/crates/tidewall-gateway/src/failover/replicator.rs
+++ b/crates/tidewall-gateway/src/failover/replicator.rs
@@ -273,7 +273,7 @@
 
     /// Stores a final response for repeats with the same key. A rejection is not stored, and the request is
     /// removed, because the client may retry it.
-    pub(super) fn remember_response(
+    pub(super) fn store_response(
         &mut self,
         now: Time,
         class: usize,
@@ -293,7 +293,7 @@
 
     /// Updates the deduplication table for a request that its client abandoned. If it may have been executed
     /// and is not idempotent, a repeat gets a failure; otherwise a repeat is treated as a new request.
-    pub(super) fn remember_abandonment(
+    pub(super) fn record_abandonment(
         &mut self,
         now: Time,
         class: usize,
@@ -301,7 +301,7 @@
         may_have_executed: bool,
     ) {
         if may_have_executed && self.retry_safety_of(class) != RetrySafety::Idempotent {
-            self.remember_response(now, class, idempotency_key, Disposition::Failed, &[]);
+            self.store_response(now, class, idempotency_key, Disposition::Failed, &[]);
         } else {
             self.deduplication.remove(class, idempotency_key);
         }
--- a/crates/tidewall-gateway/src/failover/takeover.rs
+++ b/crates/tidewall-gateway/src/failover/takeover.rs
@@ -94,7 +94,7 @@
     fn end_request(&mut self, request: ReplicatedRequest, now: Time, disposition: Disposition) {
         let replicator = self.context.expect_replicator();
         let (class, key) = (request.class, &request.idempotency_key);
-        replicator.remember_response(now, class, key, disposition, &[]);
+        replicator.store_response(now, class, key, disposition, &[]);
         let mut response = replicator.new_response();
         response.clients = request.clients;
         response.disposition = Some(disposition);
--- a/crates/tidewall-vrrp/src/router.rs
+++ b/crates/tidewall-vrrp/src/router.rs
@@ -5,7 +5,7 @@
 //! | Initialize | startup | Active as the owner of the addresses, else Backup |
 //! | Backup | Active_Down_Timer fires | Active |
 //! | Backup | advertisement of priority 0 | Backup; the timer fires after Skew_Time |
-//! | Backup | another advertisement, unless of a lower priority that is preempted | Backup; the timer starts anew |
+//! | Backup | another advertisement, unless of a lower priority that is preempted | Backup; the timer restarts |
 //! | Active | Adver_Timer fires | Active; advertises |
 //! | Active | advertisement of a higher priority, or of the same one and a higher address | Backup |
 //! | Active | another advertisement | Active; advertises |
--- a/crates/tidewall-vrrp/tests/packets.rs
+++ b/crates/tidewall-vrrp/tests/packets.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn an_interval_of_0_and_foreign_addresses_are_discarded_after_the_hash_matched() {
+fn an_interval_of_0_and_unexpected_addresses_are_discarded_after_the_hash_matched() {
     let mut guard = ReplayGuard::default();
     let addresses = [ip(100)];
     let mut out = Vec::new();
