--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,6 +1,7 @@
-//! All decisions of a gateway that routes requests to workers; each file beneath `choice/` has one concern.
-//! The mechanism is that of docs/design.md; what departs from it is marked "Departure" and explained there.
-//! The operators' deploy page names this file, so it keeps its name; the type is `Scheduler`.
+//! All scheduling decisions of a gateway that routes requests to workers. Each file in `choice/` covers one
+//! concern. The algorithm is described in docs/design.md. Deviations from it are marked "Departure" here and
+//! explained there. The operators' deploy page names this file, so the file keeps its name. The type is
+//! `Scheduler`.
 mod attempts;
 mod endpoint_age;
 mod load_checks;
@@ -31,17 +32,18 @@
 use tuning::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// A scheduler that starts at `now`; `seed` that of its random numbers. Settings without sense fail.
+    /// Creates a scheduler that starts at `now`, with `seed` for its random numbers. Fails if a setting is
+    /// invalid.
     pub fn new(host: A, now: Time, seed: u64, settings: Settings) -> Result<Scheduler<A>, SettingsError> {
         validate(&settings)?;
         let classes = (0..settings.number("classes.count") as usize).map(|i| settings.request_class(i));
-        // The page's start: a tenth of the latency objective.
-        let start = |class: RequestClass| RequestClass {
+        // The design's initial estimate of the warm latency: a tenth of the latency objective.
+        let with_initial_estimates = |class: RequestClass| RequestClass {
             observed_objective: class.latency_objective as f64,
             warm_latency: class.latency_objective as f64 / 10.0,
             ..class
         };
-        let classes: Vec<RequestClass> = classes.map(start).collect();
+        let classes: Vec<RequestClass> = classes.map(with_initial_estimates).collect();
         let tenants = (0..settings.number("tenants.count") as usize).map(|i| settings.tenant(i)).collect();
         let config = configure(&settings, &classes);
         let random = RandomGenerator::new(seed);
@@ -54,34 +56,39 @@
         Ok(scheduler)
     }
 
-    /// Three quarters to five quarters of a span. Guards against whatever strikes many functions or gateways
-    /// at one moment: what they try again must not meet again, and again, a span later.
+    /// Returns a random span between three quarters and five quarters of `span`. Without it, functions or
+    /// gateways that fail at the same moment would retry together, and again after each further span.
     fn jitter(&mut self, span: Time) -> Time {
         span * 3 / 4 + Time::from(self.random.below((span / 2) as u32 + 1))
     }
 }
 
-/// The settings as the decisions use them: what follows from others, and defaults that are decisions.
+/// Derives the configuration that the decisions read: values that follow from other settings, and defaults
+/// for settings that are left out.
 fn configure(settings: &Settings, classes: &[RequestClass]) -> SchedulerConfig {
     let (mut config, minute) = (settings.scheduler_config(), 60 * SECOND);
-    config.large_fleet = config.gateway_count >= 8.0; // well between the fleets seen, of 3 and of 20 and more
+    config.large_fleet = config.gateway_count >= 8.0; // the known fleets have 3 gateways, or 20 and more
     config.load_checks &= config.large_fleet && settings.number("deductions.probe") < LOAD_CHECK_GAIN / 2.0;
-    // Other gateways renew instances too: with S gateways a silence of S keep-alives here is one of a
-    // keep-alive at the instance; a minute at most, as popularity moves on, and where none is set: until a
-    // miss.
+    // Other gateways renew instances too: with S gateways, no own request during S keep-alives corresponds to
+    // one keep-alive without requests at the instance. Bounded by a minute, because popularity shifts. Where
+    // no keep-alive is set, instances are assumed to stay loaded until a miss.
     let keep_alive = config.keep_alive;
-    let shared = keep_alive.saturating_mul(config.gateway_count as Time).min(minute).max(keep_alive);
-    // Nothing is presumed where the miss would be the only attempt, but to show that a function exists.
+    let fleet_keep_alive =
+        keep_alive.saturating_mul(config.gateway_count as Time).min(minute).max(keep_alive);
+    // Instances are not presumed loaded where a request has one attempt only, which a miss would use up. The
+    // first attempt that shows whether the function exists is the exception.
     config.presume_loaded = config.large_fleet && config.max_attempts > 1;
-    config.keep_alive = if config.presume_loaded { shared } else { keep_alive };
+    config.keep_alive = if config.presume_loaded { fleet_keep_alive } else { keep_alive };
     config.keep_alive = if config.keep_alive == 0 { minute } else { config.keep_alive };
-    let shortest = classes.iter().map(|class| class.latency_objective).min().unwrap_or(SECOND);
-    config.sweep_interval = (shortest / 16).max(config.tick).clamp(MS, MAX_SWEEP_INTERVAL);
-    // Where an eighth of it, as other waits, is over before a sweep no request waits for a load check.
-    let waits = shortest / 8 >= config.sweep_interval;
-    config.load_check_timeout = if waits { LOAD_CHECK_TIMEOUT.min(shortest / 8) } else { 0 };
+    let shortest_objective = classes.iter().map(|class| class.latency_objective).min().unwrap_or(SECOND);
+    config.sweep_interval = (shortest_objective / 16).max(config.tick).clamp(MS, MAX_SWEEP_INTERVAL);
+    // Like other waits, waiting for a load check is bounded by an eighth of the latency objective. Where that
+    // is shorter than the sweep interval, no request waits for a load check.
+    let may_wait = shortest_objective / 8 >= config.sweep_interval;
+    config.load_check_timeout = if may_wait { LOAD_CHECK_TIMEOUT.min(shortest_objective / 8) } else { 0 };
     config.drain_grace = if config.drain_grace > 0 { config.drain_grace } else { DEFAULT_DRAIN_GRACE };
-    // The safe way where they are not set: what a worker can do by now, over any second.
+    // Safe defaults where they are not set: a worker is overloaded as soon as it gets more than it can do at
+    // its present warm-up, over any second.
     let (tolerance, window) = (config.overload_tolerance, config.overload_window);
     config.overload_tolerance = if tolerance > 0.0 { tolerance } else { 1.0 };
     config.overload_window = if window > 0 { window } else { SECOND };
--- a/src/choice/endpoint_age.rs
+++ b/src/choice/endpoint_age.rs
@@ -1,61 +1,62 @@
-//! How long the endpoint list may be relied on, and what takes its place while discovery is out of reach:
-//! new work leaves only for workers that are known to have been in service within the drain grace period. A
-//! worker may begin to drain, or restart, at any moment, and what discovery would tell counts as known
-//! though nobody hears it. So no news is no evidence: the workers' own answers are, and where they have run
-//! out workers are asked what the drain rule exempts.
+//! How long the endpoint list may be relied on, and what replaces it while discovery is unreachable: new work
+//! is sent only to workers known to have been in service within the drain grace period. A worker may start to
+//! drain or restart at any moment, and the gateway is expected to know what discovery would have reported,
+//! even if it did not receive it. So the absence of updates proves nothing. The workers' own answers do, and
+//! where those have become too old, workers are sent health checks and queries, which the drain rule exempts.
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// The discovery server's answer proves the list as of `as_of`; while it can be reached the next one
-    /// comes by `due_at`.
+    /// Records that the discovery server confirmed the list as of `as_of`. While the server is reachable, its
+    /// next answer arrives by `due_at`.
     pub fn endpoint_list_confirmed(&mut self, as_of: Time, due_at: Time) {
         self.endpoint_list.as_of = as_of;
         self.endpoint_list.due_at = due_at;
     }
 
-    /// Whether discovery owes an answer: the list may have changed since it was last confirmed.
+    /// Whether the discovery server's answer is overdue, so that the list may have changed since it was
+    /// confirmed.
     pub fn is_endpoint_list_overdue(&self) -> bool {
         self.now >= self.endpoint_list.due_at
     }
 
-    /// Until when work may leave for a worker, by what is known now; `Time::MAX` where nothing is to be
-    /// known. Work that is on its way when a worker begins to drain is within the grace period: so long,
-    /// and no longer, evidence holds.
+    /// The time until which work may be sent to a worker, by present knowledge. `Time::MAX` where endpoint
+    /// lists have no age or nothing may be asked. Work that is under way when a worker starts to drain is
+    /// covered by the grace period, so evidence of service holds for the length of that period and no longer.
     pub(super) fn confirmed_until(&self, worker_id: WorkerId) -> Time {
         let EndpointListAge { as_of, due_at } = self.endpoint_list;
-        if due_at == Time::MAX || !self.can_ask() {
+        if due_at == Time::MAX || !self.can_check_service() {
             return Time::MAX;
         }
-        let holds = self.config.drain_grace - DEPARTURE_MARGIN.min(self.config.drain_grace / 4);
+        let validity = self.config.drain_grace - DEPARTURE_MARGIN.min(self.config.drain_grace / 4);
         if !self.is_endpoint_list_overdue() {
-            return due_at.max(as_of + holds);
+            return due_at.max(as_of + validity);
         }
         let service = &self.workers[worker_id].service;
         let known_at = as_of.max(service.confirmed_at());
         if service.rejected_at.max(service.denied_at) > known_at || known_at == 0 {
             return 0;
         }
-        known_at + holds
+        known_at + validity
     }
 
-    /// Whether work may leave for a worker now.
+    /// Whether work may be sent to a worker now.
     pub(super) fn is_confirmed(&self, worker_id: WorkerId) -> bool {
         self.now < self.confirmed_until(worker_id)
     }
 
-    /// Whether the settings allow anything to be asked that the drain rule exempts. Where they do not,
-    /// attempts alone show what a worker does, and the service goes on by them.
-    fn can_ask(&self) -> bool {
+    /// Whether the settings allow health checks or queries, which the drain rule exempts. Where they do not,
+    /// only attempts show a worker's state, and requests continue to be sent by the last list.
+    fn can_check_service(&self) -> bool {
         self.config.may_check_health || self.config.may_load
     }
 
-    /// Listed as active, not ejected, and not passed over: the next of the order takes the place of a
-    /// worker that denied service, or that was asked and says nothing.
+    /// Whether the worker is listed as active, not ejected, and not skipped. The next worker in the
+    /// function's order replaces one that denied service or did not answer a service check.
     pub(crate) fn is_available(&self, worker_id: WorkerId) -> bool {
-        self.is_listed_available(worker_id) && !self.is_passed_over(worker_id)
+        self.is_listed_available(worker_id) && !self.is_skipped(worker_id)
     }
 
-    fn is_passed_over(&self, worker_id: WorkerId) -> bool {
+    fn is_skipped(&self, worker_id: WorkerId) -> bool {
         if !self.is_endpoint_list_overdue() {
             return false;
         }
@@ -65,46 +66,47 @@
         denied || silent && !self.is_confirmed(worker_id)
     }
 
-    /// Whether all workers that a function may run on are passed over, or left for other reasons.
-    pub(super) fn is_nobody_in_service(&self, function_id: FunctionId) -> bool {
+    /// Whether no worker that the function may run on is available while the endpoint list is overdue.
+    pub(super) fn is_no_worker_available(&self, function_id: FunctionId) -> bool {
         let mut placements = self.functions[function_id].placements.iter();
         self.is_endpoint_list_overdue() && !placements.any(|p| self.is_available(p.worker_id))
     }
 
-    /// Asks the workers that a request's next attempt may go to, where nothing confirms them; whether an
-    /// answer is awaited.
-    pub(super) fn ask_unconfirmed(&mut self, slot: RequestSlot) -> bool {
-        if !self.is_endpoint_list_overdue() || !self.can_ask() {
+    /// Sends service checks to the unconfirmed workers that the request's next attempt may go to. Returns
+    /// whether an answer is pending.
+    pub(super) fn check_unconfirmed_workers(&mut self, slot: RequestSlot) -> bool {
+        if !self.is_endpoint_list_overdue() || !self.can_check_service() {
             return false;
         }
         let function_id = self.requests[slot].info.function;
-        let wanted = self.functions[function_id].desired_instances.max(1);
-        let (mut candidates, mut awaited) = (0, false);
+        let desired = self.functions[function_id].desired_instances.max(1);
+        let (mut candidates, mut answer_pending) = (0, false);
         for position in 0..self.functions[function_id].placements.len() {
-            if candidates == wanted {
+            if candidates == desired {
                 break;
             }
             let worker_id = self.functions[function_id].placements[position].worker_id;
             let request = &self.requests[slot];
-            let suits = self.may_go_to(request, worker_id) && self.is_retry_safe(request, worker_id);
-            if !suits || !self.is_listed_available(worker_id) {
+            let is_eligible =
+                self.may_use_worker(request, worker_id) && self.is_retry_safe(request, worker_id);
+            if !is_eligible || !self.is_listed_available(worker_id) {
                 continue;
             }
             if !self.is_confirmed(worker_id) {
-                self.ask_service(function_id, position);
-                let passed_over = self.is_passed_over(worker_id);
-                awaited |= !passed_over && self.workers[worker_id].service.answers_pending > 0;
-                candidates += usize::from(!passed_over);
+                self.check_service(function_id, position);
+                let is_skipped = self.is_skipped(worker_id);
+                answer_pending |= !is_skipped && self.workers[worker_id].service.answers_pending > 0;
+                candidates += usize::from(!is_skipped);
             } else {
                 candidates += 1;
             }
         }
-        awaited
+        answer_pending
     }
 
-    /// Asks a worker whether it is in service, in the ways that the settings allow, unless it was asked
-    /// lately. What a draining worker says to which of them is told nowhere, so it has to be well by each.
-    fn ask_service(&mut self, function_id: FunctionId, position: usize) {
+    /// Asks a worker whether it is in service, with each kind of check that the settings allow, unless it was
+    /// asked recently. It is not specified how a draining worker answers either kind, so both must succeed.
+    fn check_service(&mut self, function_id: FunctionId, position: usize) {
         let worker_id = self.functions[function_id].placements[position].worker_id;
         let service = &mut self.workers[worker_id].service;
         let is_pending = service.answers_pending > 0 && self.now < service.asked_at + SERVICE_CHECK_INTERVAL;
--- a/src/choice/load_requests.rs
+++ b/src/choice/load_requests.rs
@@ -1,36 +1,39 @@
-//! Load requests: which instances workers are asked to load, and the rate limit of asking.
+//! Load requests: which instances workers are asked to load, and the rate limit of load requests.
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// The first n placements are to have their instances, and instances in use are renewed.
+    /// Requests missing instances for the first n placements, and renews instances that are in use.
     pub(crate) fn request_loads(&mut self, function_id: FunctionId) {
         let n = self.functions[function_id].desired_instances;
-        let (heads, half) = (self.usable_placements(function_id).take(n).count(), self.config.keep_alive / 2);
+        let (primary_count, renewal_age) =
+            (self.usable_placements(function_id).take(n).count(), self.config.keep_alive / 2);
         let mut rank = 0;
         for position in 0..self.functions[function_id].placements.len() {
             let placement = self.functions[function_id].placements[position];
-            if rank == heads {
+            if rank == primary_count {
                 break;
             }
             if !self.is_usable(function_id, &placement) {
                 continue;
             }
-            let instances = (n - rank).div_ceil(heads);
+            let instances = (n - rank).div_ceil(primary_count);
             rank += 1;
-            // Half the keep-alive: one renewal lost still leaves time for another. Use renews by itself.
-            let in_use = self.now < self.functions[function_id].last_request_at + half;
-            let aged = self.now > placement.renewed_at + half && in_use;
+            // Renewal starts at half the keep-alive, so that one lost renewal leaves time for another.
+            // Requests renew an instance by themselves.
+            let in_use = self.now < self.functions[function_id].last_request_at + renewal_age;
+            let is_due = self.now > placement.renewed_at + renewal_age && in_use;
             let presumed = self.config.presume_loaded && rank <= 1;
             let unknown = placement.instances == InstanceState::Unknown && !presumed;
             let missing = unknown || placement.instances == InstanceState::Absent;
-            let renew = aged && placement.instances == InstanceState::Loaded;
+            let renew = is_due && placement.instances == InstanceState::Loaded;
             if placement.pending_loads == 0 && (missing || renew) {
                 self.load_instances(function_id, position, instances as u32, missing);
             }
         }
     }
 
-    /// Every load request passes here: drains, the rate limit, and one at a time for a placement.
+    /// Sends a load request unless the worker drains, the rate limit is reached, or one is already pending
+    /// for the placement. Every load request passes these checks.
     pub(super) fn load_instances(
         &mut self,
         function_id: FunctionId,
@@ -39,14 +42,15 @@
         missing: bool,
     ) -> bool {
         let (now, placement) = (self.now, self.functions[function_id].placements[position]);
-        // In a large fleet the first attempt shows whether there is such a function, before any load request.
-        let confirmed = self.functions[function_id].confirmed || !self.config.presume_loaded;
-        let open = self.workers[placement.worker_id].is_active() && placement.blocked_until <= now;
-        let open = open && self.is_confirmed(placement.worker_id);
-        if !self.config.may_load || !open || !confirmed || placement.pending_loads > 0 {
+        // In a large fleet, a first attempt shows whether the function exists before any load request is
+        // sent.
+        let is_confirmed_function = self.functions[function_id].confirmed || !self.config.presume_loaded;
+        let may_send = self.workers[placement.worker_id].is_active() && placement.blocked_until <= now;
+        let may_send = may_send && self.is_confirmed(placement.worker_id);
+        if !self.config.may_load || !may_send || !is_confirmed_function || placement.pending_loads > 0 {
             return false;
         }
-        if self.config.load_limit.window > 0 && !self.take_load_allowance(missing) {
+        if self.config.load_limit.window > 0 && !self.admit_load_request(missing) {
             return false;
         }
         if self.config.load_limit.window > 0 {
@@ -64,53 +68,58 @@
         true
     }
 
-    /// The rate limit of load requests: whether one more is within it, which is then counted.
-    fn take_load_allowance(&mut self, missing: bool) -> bool {
+    /// Whether the rate limit admits one more load request.
+    fn admit_load_request(&mut self, missing: bool) -> bool {
         let limit = self.config.load_limit;
         self.expire_load_history(limit.window);
         let delayed =
             self.load_history.delayed_loads(self.now, limit.window, self.load_window_margin(limit.window));
-        // Those of a life before a restart may still count, so the free ones come only after a window.
+        // Load requests sent before a restart of this gateway may still count, so the free ones are only used
+        // after a full window.
         let free_now = if self.now > self.started_at + limit.window { limit.free } else { 0.0 };
-        // Renewals leave half the allowance to instances that are missing.
-        let part = if missing { 1.0 } else { 0.5 };
-        // It holds from each load request on: one that arrives late (a silent worker heals), or in a next
-        // life, finds requests gone that paid for those before, and what is left must do.
+        // Renewals may use at most half of the allowance; the rest is kept for missing instances.
+        let fraction = if missing { 1.0 } else { 0.5 };
+        // The limit is checked from each earlier load request on. A load request that arrives late (at a
+        // silent worker that recovers, or after a restart of this gateway) may find that the requests which
+        // admitted those before it have left the window. What remains in the window must be within the limit
+        // by itself.
         let (history, count) = (&self.load_history, self.load_history.sent.len() + delayed + 1);
-        let over = |earlier, since, free| {
-            let paid = limit.per_request * history.arrivals_since(since) as f64;
-            (count - earlier) as f64 > (free + paid) * part
+        let exceeds = |earlier, since, free| {
+            let earned = limit.per_request * history.arrivals_since(since) as f64;
+            (count - earlier) as f64 > (free + earned) * fraction
         };
         let mut sent = history.sent.iter().enumerate();
-        !(over(0, 0, free_now) || sent.any(|(i, sent_at)| over(i, *sent_at, limit.free)))
+        !(exceeds(0, 0, free_now) || sent.any(|(i, sent_at)| exceeds(i, *sent_at, limit.free)))
     }
 
-    /// Load requests as old as the window still count, requests must be younger: the safe way for both.
+    /// Drops old entries, conservatively in both directions: a load request as old as the window still
+    /// counts, an arrival must be more recent than the window.
     pub(super) fn expire_load_history(&mut self, window: Time) {
         self.load_history.expire(self.now, window, self.load_window_margin(window));
     }
 
-    /// A sweep, as load requests take different times to their workers, or what clocks may differ by over a
-    /// long window.
+    /// The margin of the window: the sweep interval, as load requests take different times to reach their
+    /// workers, or the clock drift over a long window.
     fn load_window_margin(&self, window: Time) -> Time {
         MAX_SWEEP_INTERVAL.max(window / CLOCK_RATE_TOLERANCE)
     }
 
-    /// A call to a worker has ended: where the worker itself ended it, what had been sent to it a sweep before
-    /// has come. What was sent since then may lie unread behind the answer.
-    pub(super) fn worker_heard(&mut self, worker_id: WorkerId, outcome: Outcome) {
+    /// A call to a worker has ended. If the worker itself ended it, the worker has received what was sent to
+    /// it more than a sweep interval ago. Anything sent since then may still be unread behind the answer.
+    pub(super) fn record_worker_response(&mut self, worker_id: WorkerId, outcome: Outcome) {
         if matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::AtCapacity | Outcome::Error) {
             let until = self.now.saturating_sub(MAX_SWEEP_INTERVAL);
             self.load_history.worker_received(self.now, worker_id, until);
         }
     }
 
-    /// A worker has shown that it knows this function: its requests count for the rate limit from now on, and
-    /// those in hand as of when they came. Guards against calls of unknown functions by the hundred,
-    /// cancelled or rejected at once: the users count none, and a few of them would buy a load request.
+    /// Marks the function as confirmed if the outcome shows that the worker knows it. From then on its
+    /// requests count for the rate limit, and its open requests count as of their arrival. Without this,
+    /// hundreds of calls of unknown functions that are cancelled or rejected at once would admit load
+    /// requests, although the users do not count such calls.
     pub(super) fn confirm_function(&mut self, function_id: FunctionId, outcome: Outcome) {
-        let shows = matches!(outcome, Outcome::Ok | Outcome::Miss);
-        if !shows || std::mem::replace(&mut self.functions[function_id].confirmed, true) {
+        let is_known = matches!(outcome, Outcome::Ok | Outcome::Miss);
+        if !is_known || std::mem::replace(&mut self.functions[function_id].confirmed, true) {
             return;
         }
         for (_, request) in self.requests.iter().filter(|r| r.1.info.function == function_id) {
@@ -118,7 +127,7 @@
         }
     }
 
-    /// A load request, or a query, has ended; `instances` are loaded at the worker now.
+    /// A load request or a query has ended; the worker now has `instances` loaded.
     pub fn load_request_ended(
         &mut self,
         function_id: FunctionId,
@@ -127,34 +136,37 @@
         instances: u32,
     ) {
         let now = self.now;
-        self.worker_heard(worker_id, outcome);
-        self.take_in_changes(function_id);
+        self.record_worker_response(worker_id, outcome);
+        self.apply_endpoint_changes(function_id);
         let Some(position) = self.placement_on(function_id, worker_id) else { return };
         self.confirm_function(function_id, outcome);
-        // No memory or a failed load: the same load request at once would fail again.
+        // After a lack of memory or a failed load, the same load request would fail again if it were sent at
+        // once.
         let blocked_until = now + self.jitter(if self.config.large_fleet { 4 * SECOND } else { SECOND / 2 });
         let function = &mut self.functions[function_id];
         let placement = &mut function.placements[position];
-        // An end does not say whether it is a query's or a load request's; queries go first and are answered
-        // at once. Each end counts once, so neither stays out for good, whatever a worker says.
-        let query = placement.end_pending_call();
-        if !query && outcome != Outcome::TimedOut {
+        // The result does not say whether it belongs to a query or a load request. Queries are sent first and
+        // answered at once. Each result is counted once, so neither count stays above zero, whatever a worker
+        // answers.
+        let is_query = placement.end_pending_call();
+        if !is_query && outcome != Outcome::TimedOut {
             self.load_history.worker_received(now, worker_id, now);
         }
-        if query && outcome == Outcome::Ok && instances == 0 {
+        if is_query && outcome == Outcome::Ok && instances == 0 {
             return;
         }
-        let stays = placement.instances == InstanceState::Loaded
+        let stays_loaded = placement.instances == InstanceState::Loaded
             && matches!(outcome, Outcome::TimedOut | Outcome::Ok);
         if instances > 0 {
-            // How long its loads take: rises at once, falls slowly, as one that others requested seems short.
-            if !query && placement.instances == InstanceState::Loading {
+            // The load time estimate rises at once and falls slowly, because a load that another gateway
+            // requested earlier seems short.
+            if !is_query && placement.instances == InstanceState::Loading {
                 let took = (now - placement.renewed_at) as f64;
                 function.load_time = smooth(function.load_time, took).max(took);
             }
             (placement.instances, placement.renewed_at) = (InstanceState::Loaded, now);
         } else {
-            if !stays && (!query || placement.pending_loads == 0) {
+            if !stays_loaded && (!is_query || placement.pending_loads == 0) {
                 placement.instances = InstanceState::Absent;
             }
             placement.blocked_until = blocked_until;
--- a/src/choice/service_answers.rs
+++ b/src/choice/service_answers.rs
@@ -1,22 +1,23 @@
-//! What workers' own answers, and the ends of connections to them, say of their being in service, and what
-//! follows from it while the endpoint list is overdue.
+//! Evidence of workers being in service, from their own answers and from the ends of connections to them, and
+//! its consequences while the endpoint list is overdue.
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// A worker has answered, or not in time. Called before the end of the call itself.
+    /// A worker has answered or failed to answer in time. Called before the end of the call itself is
+    /// reported.
     pub fn worker_answered(&mut self, worker_id: WorkerId, answer: WorkerAnswer) {
         if self.endpoint_list.due_at == Time::MAX || worker_id >= self.workers.len() {
             return;
         }
         let before = self.workers[worker_id].service;
         let mut service = before;
-        self.take_in_answer(&mut service, &answer);
+        self.record_answer(&mut service, &answer);
         let is_answer_awaited = matches!(answer.question, Question::HealthCheck | Question::InstanceQuery)
             && answer.asked_at >= service.asked_at
             && service.answers_pending > 0;
         if is_answer_awaited {
             service.answers_pending -= 1;
-            // Where it was not asked at all, or the connection broke, it is asked again, but not within
+            // If the check could not be sent, or the connection broke, the worker is asked again, but not in
             // this wake-up.
             service.ask_again_at = service.ask_again_at.max(self.now + SERVICE_CHECK_RETRY);
         }
@@ -26,21 +27,23 @@
         }
     }
 
-    /// What an answer says of its worker's being in service.
-    fn take_in_answer(&self, service: &mut ServiceEvidence, answer: &WorkerAnswer) {
+    /// Updates the evidence with a worker's answer.
+    fn record_answer(&self, service: &mut ServiceEvidence, answer: &WorkerAnswer) {
         let WorkerAnswer { question, outcome, asked_at, instances } = *answer;
         match (question, outcome) {
-            // A draining worker rejects without a look, so either shows that it was in service.
+            // A draining worker rejects attempts without looking for the instance, so either outcome shows
+            // that this one was in service.
             (Question::Attempt, Outcome::Ok | Outcome::Miss) => {
                 service.took_work_at = service.took_work_at.max(asked_at);
                 service.rejections = 0;
             }
-            // Full or draining: it is asked which. With the list confirmed it is full.
+            // The worker is full or draining, and a service check decides which. While the list is confirmed,
+            // it is full.
             (Question::Attempt, Outcome::AtCapacity) if self.is_endpoint_list_overdue() => {
                 service.rejected_at = service.rejected_at.max(asked_at);
                 service.rejections += 1;
                 if service.rejections >= MAX_REJECTIONS {
-                    // Whatever it says of itself.
+                    // Counts as a denial, whatever the worker answers to service checks.
                     service.denied_at = service.denied_at.max(asked_at);
                 }
             }
@@ -51,8 +54,8 @@
                     service.had_instances_at = asked_at;
                 }
             }
-            // It may not know the function, as of a client that calls what there is not. That is no
-            // rejection; with its health it will do.
+            // The worker may not know the function, for instance if a client calls one that does not exist.
+            // This is no denial, and together with a good health check it counts as confirmation.
             (Question::InstanceQuery, Outcome::Error) if self.config.may_check_health => {
                 service.queried_at = service.queried_at.max(asked_at);
             }
@@ -60,7 +63,8 @@
             | (Question::InstanceQuery, Outcome::AtCapacity | Outcome::TimedOut) => {
                 service.denied_at = service.denied_at.max(asked_at);
             }
-            // A connection that broke, and what this machine lacked or took back, say nothing of the worker.
+            // A broken connection, a lack of resources on this machine, or a cancellation proves nothing
+            // about the worker.
             _ => {}
         }
         if !self.config.may_check_health {
@@ -70,8 +74,8 @@
         }
     }
 
-    /// A connection to a worker did not come about. Where no other stands it may be gone, and come back as
-    /// another.
+    /// A connection to a worker could not be opened. If no other connection stands, the worker may be gone
+    /// and may come back as another one.
     pub fn worker_unreachable(&mut self, worker_id: WorkerId) {
         let is_known = worker_id < self.workers.len();
         let is_connected = is_known && self.host.connected_since(worker_id) < Time::MAX;
@@ -82,38 +86,38 @@
         }
     }
 
-    /// A connection to a worker has ended, and not from this side.
+    /// A connection to a worker has ended, and was not closed from this side.
     pub fn worker_connection_lost(&mut self, worker_id: WorkerId) {
         if worker_id < self.workers.len() {
             self.workers[worker_id].service.connection_lost_at = self.now;
         }
     }
 
-    /// While the list is overdue: what follows from what a worker has shown.
+    /// Applies the consequences of new evidence while the list is overdue.
     fn service_evidence_changed(
         &mut self,
         worker_id: WorkerId,
         before: &ServiceEvidence,
-        denial: ServiceChange,
+        change: ServiceChange,
     ) {
         let after = self.workers[worker_id].service;
         let known_before = self.endpoint_list.as_of.max(before.confirmed_at());
         if after.denied_at > before.denied_at {
-            let more = after.rejections.saturating_sub(MAX_REJECTIONS).min(MAX_INTERVAL_DOUBLINGS);
-            // Not all gateways at one moment.
-            let wait = self.jitter(SERVICE_CHECK_INTERVAL << more);
-            // One that cannot be reached costs nobody anything by being asked.
+            let doublings = after.rejections.saturating_sub(MAX_REJECTIONS).min(MAX_INTERVAL_DOUBLINGS);
+            // Jittered, so that not all gateways ask at the same moment.
+            let wait = self.jitter(SERVICE_CHECK_INTERVAL << doublings);
+            // Asking a worker that cannot be reached costs it nothing.
             let wait = if self.host.connected_since(worker_id) == Time::MAX { wait / 2 } else { wait };
             self.workers[worker_id].service.ask_again_at = self.now + wait;
             if before.denied_at <= known_before {
-                self.host.service_changed(worker_id, denial);
+                self.host.service_changed(worker_id, change);
             }
         }
         if after.confirmed_at() > known_before {
             if self.may_have_restarted(worker_id, before) {
                 self.presume_start(worker_id);
             }
-            // That is settled: what comes later does not ask for it again.
+            // The lost connection has been accounted for; later answers are not checked for it again.
             self.workers[worker_id].service.connection_lost_at = 0;
         }
         if after.answers_pending < before.answers_pending {
--- a/src/choice/sweep.rs
+++ b/src/choice/sweep.rs
@@ -1,8 +1,8 @@
-//! The sweep: what is looked at again from time to time, whatever happens.
+//! The sweep: periodic checks of requests and functions.
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// A timer that `SchedulerActions::set_timer` set has fired.
+    /// A timer set by `SchedulerActions::set_timer` has fired.
     pub fn timer_fired(&mut self, token: u64) {
         if token == ENDPOINT_TIMER {
             if self.config.endpoints_on_request {
@@ -16,21 +16,24 @@
         self.check_functions();
     }
 
-    /// Counts of instances are checked once a second, the functions spread over the sweeps of it; a sweep
-    /// that comes late does those of the sweeps that it missed, as far as that is not too many at once.
+    /// Checks the number of instances of each function once a second, with the functions spread over the
+    /// sweeps of that second. A late sweep also checks the functions of the sweeps that were missed, up to a
+    /// limit.
     fn check_functions(&mut self) {
-        let (slots, sweep) = (SECOND / MAX_SWEEP_INTERVAL, self.now / MAX_SWEEP_INTERVAL);
-        let from = self.last_sweep.max(sweep.saturating_sub(slots));
-        let most = MAX_CHECKS_IN_A_SWEEP * slots as usize / self.functions.len().max(1);
-        let to = sweep.min(from + most.max(1) as Time);
+        let (group_count, current_sweep) = (SECOND / MAX_SWEEP_INTERVAL, self.now / MAX_SWEEP_INTERVAL);
+        let from = self.last_sweep.max(current_sweep.saturating_sub(group_count));
+        let max_sweeps = MAX_CHECKS_IN_A_SWEEP * group_count as usize / self.functions.len().max(1);
+        let to = current_sweep.min(from + max_sweeps.max(1) as Time);
         self.last_sweep = to;
-        if from / slots < to / slots {
+        if from / group_count < to / group_count {
             self.drop_old_changes();
         }
-        for slot in from + 1..=to {
-            for function_id in ((slot % slots) as usize..self.functions.len()).step_by(slots as usize) {
+        for sweep in from + 1..=to {
+            for function_id in
+                ((sweep % group_count) as usize..self.functions.len()).step_by(group_count as usize)
+            {
                 if self.functions[function_id].live {
-                    self.take_in_changes(function_id);
+                    self.apply_endpoint_changes(function_id);
                     self.scale(function_id, true);
                     self.forget_idle(function_id);
                 }
@@ -38,18 +41,18 @@
         }
     }
 
-    /// Changes of the endpoint list that all functions have taken in are of no further use.
+    /// Drops endpoint changes that all functions have applied.
     fn drop_old_changes(&mut self) {
         let seen = self.functions.iter().filter(|f| f.live).map(|f| f.changes_seen).min();
         let end = self.endpoint_changes.end();
         self.endpoint_changes.drop_before(seen.unwrap_or(end));
     }
 
-    /// One request in hand: its deadline, and attempts that are overdue.
+    /// Checks the deadline of an open request and looks for overdue attempts.
     fn check_request(&mut self, slot: RequestSlot) {
         let open = self.requests.get(slot).filter(|request| !request.finished && !request.streaming);
         let Some(info) = open.map(|request| request.info) else { return };
-        // The last sweep before the client gives up is the last chance for a response of our own.
+        // The last sweep before the client gives up is the last chance for this gateway to respond.
         if self.now + self.config.sweep_interval + 2 * self.config.tick >= info.deadline {
             return self.reject_or_fail(slot, 0);
         }
@@ -62,10 +65,10 @@
             attempt.state = AttemptState::Overdue;
             let worker_id = attempt.worker_id;
             self.record_failure(worker_id);
-            // A hedged attempt goes out beside the late one where that is allowed.
+            // Sends a hedged attempt in addition to the late one if that is allowed.
             let weight = self.priority_weight(&info);
             if self.config.may_hedge && self.requests[slot].retries < 2 && !self.is_overloaded() {
-                self.take_in_changes(info.function);
+                self.apply_endpoint_changes(info.function);
                 if let Some(selection) = self.select_placements(slot, weight) {
                     self.requests[slot].retries += 1;
                     self.send_attempt(slot, selection.first);
--- a/src/choice/tests.rs
+++ b/src/choice/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the decisions, by concern as the files of `choice/`. Each test builds the state it needs and calls one
-//! method.
+//! Tests of the scheduler, one file per concern as in `choice/`. Most tests build the state they need and
+//! call one method.
 mod attempts;
 mod endpoint_age;
 mod endpoints;
--- a/src/choice/tests/thousands.rs
+++ b/src/choice/tests/thousands.rs
@@ -59,7 +59,8 @@
             _ => end_one_attempt(scheduler, pick, outcome),
         }
         if index == 1 {
-            (0..scheduler.functions.len()).for_each(|function_id| scheduler.take_in_changes(function_id));
+            (0..scheduler.functions.len())
+                .for_each(|function_id| scheduler.apply_endpoint_changes(function_id));
         }
     }
 }
--- a/src/counter.rs
+++ b/src/counter.rs
@@ -1,11 +1,11 @@
-//! A count over a sliding window, and running means: arithmetic without any value of its own.
+//! A count over a sliding window, and running means: arithmetic without any tuned value.
 use crate::interface::Time;
 
 /// A count over the last `STEPS` steps of `STEP` tenths of a millisecond each.
 #[derive(Clone)]
 pub struct SlidingCounter<const STEP: Time, const STEPS: usize> {
     steps: [u32; STEPS],
-    /// The step, counted from time 0, up to which `steps` is kept.
+    /// Number of the step, counted from time 0, up to which `steps` is up to date.
     last_step: Time,
     sum: u32,
 }
@@ -17,7 +17,7 @@
 }
 
 impl<const STEP: Time, const STEPS: usize> SlidingCounter<STEP, STEPS> {
-    /// The window, in tenths of a millisecond.
+    /// Length of the window, in tenths of a millisecond.
     pub const SPAN: Time = STEP * STEPS as Time;
 
     /// Drops the steps that have left the window.
@@ -29,26 +29,26 @@
         self.last_step = self.last_step.max(step);
     }
 
-    /// Counts `n` more at `now`.
+    /// Adds `n` at `now`.
     pub fn add(&mut self, now: Time, n: u32) {
         self.advance(now);
         self.steps[(self.last_step % STEPS as Time) as usize] += n;
         self.sum += n;
     }
 
-    /// Whether nothing is counted, as of the last time at which something was added.
+    /// Whether the count was zero after the last addition.
     pub fn is_empty(&self) -> bool {
         self.sum == 0
     }
 
-    /// The count in the window that ends at `now`, also where nothing was added for a while.
+    /// The count in the window that ends at `now`, correct even if nothing was added for a while.
     pub fn recent(&self, now: Time) -> u32 {
         let (step, len) = (now / STEP, STEPS as Time);
         let expired = self.last_step + 1..=step.min(self.last_step + len);
         self.sum - expired.map(|s| self.steps[(s % len) as usize]).sum::<u32>()
     }
 
-    /// The count, and the part of the window since `started_at` in which it was counted.
+    /// Returns the count, and the length of the part of the window since `started_at`.
     pub fn count_and_span(&mut self, now: Time, started_at: Time) -> (f64, Time) {
         self.advance(now);
         (f64::from(self.sum), (now - started_at).min(Self::SPAN))
@@ -65,17 +65,17 @@
     f64::from(u8::from(value))
 }
 
-/// The two of lowest rank among the positions offered; of equal ranks the one offered first stays ahead.
+/// The two positions of lowest rank among those offered. Of equal ranks, the one offered first comes first.
 #[derive(Default)]
 pub struct TwoLowest {
     /// Position and rank of the lowest.
     pub first: Option<(usize, usize)>,
-    /// Position and rank of the next.
+    /// Position and rank of the second lowest.
     pub second: Option<(usize, usize)>,
 }
 
 impl TwoLowest {
-    /// Takes in a position of this rank.
+    /// Offers a position of this rank.
     pub fn offer(&mut self, position: usize, rank: usize) {
         if self.first.is_none_or(|lowest| rank < lowest.1) {
             self.second = self.first.replace((position, rank));
--- a/src/endpoint_changes.rs
+++ b/src/endpoint_changes.rs
@@ -1,16 +1,16 @@
-//! Changes of the endpoint list that the functions' placements follow, in their order. A function takes them in before its
-//! placements are next looked at, so that a list of thousands costs no wake-up more than the functions that are in use. It
-//! decides nothing.
+//! Changes of the endpoint list, in order, that are applied to the functions' placements. A function applies
+//! them before its placements are next used, so that a list of thousands of workers costs each wake-up only
+//! as much as the functions in use require. Makes no decisions.
 use crate::interface::WorkerId;
 use crate::state::InstanceState;
 use std::collections::VecDeque;
 
-/// What a change of the endpoint list means for a function's placement on the worker.
+/// The effect of an endpoint change on a function's placement on the worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChangeKind {
-    /// The worker started, with its instances as far as is known.
+    /// The worker started; the value is the state of its instances as far as is known.
     Started(InstanceState),
-    /// The worker drains or is gone: nothing is known of its instances.
+    /// The worker drains or is gone, and nothing is known about its instances.
     Withdrawn,
 }
 
@@ -19,44 +19,45 @@
 pub struct EndpointChange {
     /// The worker.
     pub worker_id: WorkerId,
-    /// The hash of its name, so that a function can tell without a look at the worker whether it is concerned.
+    /// Hash of its name, by which a function can tell whether it is affected without looking the worker up.
     pub name_hash: u64,
-    /// What it means.
+    /// The effect of the change.
     pub kind: ChangeKind,
 }
 
-/// The changes that some function has not taken in yet. They are numbered from 0.
+/// The changes that some function has not applied yet, numbered from 0.
 #[derive(Default)]
 pub struct EndpointChanges {
     entries: VecDeque<EndpointChange>,
-    /// The number of the first entry.
+    /// Number of the first entry.
     first: u64,
 }
 
 impl EndpointChanges {
-    /// Adds a change.
+    /// Appends a change.
     pub fn push(&mut self, change: EndpointChange) {
         self.entries.push_back(change);
     }
 
-    /// The number of the next change.
+    /// Number that the next change will get.
     pub fn end(&self) -> u64 {
         self.first + self.entries.len() as u64
     }
 
-    /// The changes from this number on, which some function has not taken in, for which `concerns` says so.
+    /// Returns the changes from this number on for which `concerns` is true. Some function has not applied
+    /// them yet.
     pub fn since(&self, number: u64, concerns: impl Fn(&EndpointChange) -> bool) -> Vec<EndpointChange> {
         let entries = self.entries.range((number - self.first) as usize..);
         entries.filter(|change| concerns(change)).copied().collect()
     }
 
-    /// How many changes are kept.
+    /// Number of changes that are kept.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Drops the changes below this number, which all functions have taken in.
+    /// Drops the changes below this number, which all functions have applied.
     pub fn drop_before(&mut self, number: u64) {
         let count = number.saturating_sub(self.first).min(self.entries.len() as u64);
         self.entries.drain(..count as usize);
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,11 +1,12 @@
-//! How the endpoint list is taken in: which workers are new, and which are gone. What follows is decided in
-//! `choice`.
+//! Applies updates of the endpoint list: which workers are new, and which are gone. The resulting decisions
+//! are in `choice`.
 use crate::endpoint_changes::{ChangeKind, EndpointChange};
 use crate::interface::{Endpoint, EndpointState, SchedulerActions, WorkerId};
 use crate::scheduler::Scheduler;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// Takes in entries of the endpoint list; where the list is `complete`, workers not in it are removed.
+    /// Applies entries of the endpoint list. If the list is `complete`, workers that are not in it are
+    /// removed.
     pub fn update_endpoints(&mut self, entries: &[(WorkerId, Endpoint)], complete: bool) {
         let before = self.endpoint_changes.end();
         if complete {
@@ -20,10 +21,10 @@
                 self.start_worker(worker_id, endpoint);
             }
         }
-        self.settle_changes((self.endpoint_changes.end() - before) as usize);
+        self.apply_changes_if_few((self.endpoint_changes.end() - before) as usize);
     }
 
-    /// Workers that are not in a complete list are gone.
+    /// Marks workers that are not in a complete list as removed.
     fn withdraw_unlisted(&mut self, entries: &[(WorkerId, Endpoint)]) {
         let mut is_listed = vec![false; self.workers.len()];
         for (worker_id, _) in entries {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// A worker that drains or is gone gets nothing more from the moment that this gateway hears of it.
+    /// Marks a worker as draining or gone. From then on this gateway sends nothing more to it.
     fn withdraw(&mut self, worker_id: WorkerId, state: EndpointState) {
         if self.workers[worker_id].endpoint.state == state {
             return;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,28 +1,28 @@
-//! What passes between the decisions and whoever runs them: an adapter, a gateway or a test implements
-//! `SchedulerActions` and hands in `RequestInfo`, `Endpoint` and `Outcome`. It decides nothing.
+//! The interface between the scheduler and its caller: an adapter, a gateway or a test implements
+//! `SchedulerActions` and passes in `RequestInfo`, `Endpoint` and `Outcome`. Makes no decisions.
 
 /// A point in time or a span, in whole tenths of a millisecond.
 pub type Time = u64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Time = 10;
 
-/// A second.
+/// One second.
 pub const SECOND: Time = 10_000;
 
-/// Token of the timer of the sweep over the requests in hand.
+/// Token of the timer for the sweep over the open requests.
 pub const SWEEP_TIMER: u64 = 0;
 
-/// Token of the timer after which the endpoint list is asked for again.
+/// Token of the timer after which the endpoint list is requested again.
 pub const ENDPOINT_TIMER: u64 = 1;
 
-/// Index of a worker, given by the caller; used again once `Scheduler::forget_worker` says so.
+/// Index of a worker, assigned by the caller. Reused once `Scheduler::forget_worker` allows it.
 pub type WorkerId = usize;
 
-/// Index of a function, given by the caller; used again after `SchedulerActions::forget_function`.
+/// Index of a function, assigned by the caller. Reused after `SchedulerActions::forget_function`.
 pub type FunctionId = usize;
 
-/// Index of a request in hand, from `Scheduler::next_request_slot`; used again after
+/// Index of an open request, from `Scheduler::next_request_slot`. Reused after
 /// `SchedulerActions::release_request`.
 pub type RequestSlot = usize;
 
@@ -33,67 +33,67 @@
     Ok,
     /// The worker answered with an error; it may have executed the request.
     Error,
-    /// The worker refused for lack of capacity and executed nothing.
+    /// The worker rejected it for lack of capacity and executed nothing.
     AtCapacity,
     /// No answer came in time; the request may have been executed.
     TimedOut,
-    /// No connection came about; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     ConnectFailed,
     /// The connection broke; the request may have been executed.
     Reset,
-    /// It was cancelled from this side.
+    /// It was cancelled by this gateway.
     Cancelled,
-    /// The worker dropped it unexecuted, as it came too late.
+    /// The worker discarded it without executing it, because it arrived too late.
     Discarded,
     /// The worker has no instance of the function and executed nothing.
     Miss,
 }
 
-/// What a worker was asked.
+/// A kind of call to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Question {
     /// To execute a request.
     Attempt,
     /// To load instances of a function.
     LoadRequest,
-    /// How many instances of a function it has.
+    /// To report how many instances of a function it has.
     InstanceQuery,
-    /// Whether it is healthy.
+    /// To report whether it is healthy.
     HealthCheck,
 }
 
-/// What became of something that a worker was asked.
+/// The end of a call to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerAnswer {
-    /// What it was asked.
+    /// The kind of the call.
     pub question: Question,
-    /// How that ended.
+    /// How the call ended.
     pub outcome: Outcome,
-    /// When it was asked, at the earliest.
+    /// When the worker was called, at the earliest.
     pub asked_at: Time,
-    /// Of a query for instances: how many it has; else 0.
+    /// The number of instances, in answers to instance queries; otherwise 0.
     pub instances: u32,
 }
 
-/// What a worker's own answers changed while the endpoint list was overdue.
+/// A change of a worker's service state, by its own answers, while the endpoint list was overdue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceChange {
-    /// It denied service, or did not answer: it is passed over.
+    /// It denied service or did not answer, and is skipped.
     Denied,
-    /// No connection to it comes about: it is passed over.
+    /// No connection to it can be opened, and it is skipped.
     Unreachable,
-    /// It is back after it was away, and taken for cold.
+    /// It came back after an absence and is treated as cold.
     StartPresumed,
 }
 
 /// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// It takes requests.
     Active,
-    /// Finishes what it has and takes nothing new.
+    /// It finishes the requests that it has and takes no new ones.
     Draining,
-    /// Not in the list.
+    /// It is not in the list.
     #[default]
     Removed,
 }
@@ -101,7 +101,7 @@
 /// A worker's entry in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Hash of the worker's name, the same at every gateway; 0 where nothing is known of the worker.
+    /// Hash of the worker's name, the same at every gateway; 0 if nothing is known of the worker.
     pub name_hash: u64,
     /// Index in the settings' list of zones.
     pub zone: u32,
@@ -111,9 +111,9 @@
     pub cell: u32,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// Capacity against other workers, as listed.
+    /// Capacity relative to other workers, as listed.
     pub rating: f64,
-    /// When it last started; 0 is long ago.
+    /// When it last started; 0 means long ago.
     pub started_at: Time,
 }
 
@@ -122,67 +122,67 @@
 pub struct RequestInfo {
     /// Index of its class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings; None where the deployment has no tenants.
+    /// Index of its tenant in the settings; None if the deployment has no tenants.
     pub tenant: Option<usize>,
     /// The function that it calls.
     pub function: FunctionId,
     /// A fixed hash of the function's id text, the same at every gateway.
     pub function_hash: u64,
-    /// Requests that one instance of the function executes at a time.
+    /// Number of requests that one instance of the function executes at a time.
     pub lanes: u32,
-    /// Memory that an instance takes, as listed.
+    /// Memory that an instance uses, as listed.
     pub memory: f64,
-    /// When the client gives this try up.
+    /// When the client gives up this try.
     pub deadline: Time,
-    /// Expected work; 0 where it is not known.
+    /// Expected work; 0 if unknown.
     pub cost_hint: Time,
-    /// Usual time to load an instance; 0 where it is not known.
+    /// Usual time to load an instance; 0 if unknown.
     pub load_hint: Time,
-    /// Whether the client sends it again.
+    /// Whether the client has sent it before.
     pub is_retry: bool,
 }
 
-/// How the scheduler acts. Each call is carried out in the order of the calls.
+/// The actions of the scheduler. They are carried out in the order of the calls.
 pub trait SchedulerActions {
-    /// Sends a request to a worker. Attempts count 0, 1, 2 ... for each request; a timeout of 0 lasts until
-    /// the deadline. `Scheduler::attempt_ended` reports the end.
+    /// Sends a request to a worker. The attempts of each request are numbered 0, 1, 2 and so on. With a
+    /// timeout of 0, the attempt may last until the deadline. `Scheduler::attempt_ended` reports the end.
     fn send_attempt(&mut self, request: RequestSlot, worker: WorkerId, timeout: Time);
-    /// Cancels an attempt; its end is reported all the same.
+    /// Cancels an attempt. Its end is still reported.
     fn cancel_attempt(&mut self, request: RequestSlot, attempt: usize);
-    /// Rejects a request, which nothing has executed or which is idempotent, with a Retry-After.
+    /// Rejects a request with a Retry-After. No worker has executed the request, or it is idempotent.
     fn reject(&mut self, request: RequestSlot, retry_after: Time);
-    /// Fails a request for good: it may have been executed.
+    /// Fails a request permanently, because it may have been executed.
     fn fail(&mut self, request: RequestSlot);
-    /// The request has its response and all its attempts have ended; its slot will be used again.
+    /// The request has its response and all its attempts have ended. Its slot will be reused.
     fn release_request(&mut self, request: RequestSlot);
-    /// Calls `Scheduler::timer_fired` with this token after a span.
+    /// Arranges a call of `Scheduler::timer_fired` with this token after a delay.
     fn set_timer(&mut self, delay: Time, token: u64);
-    /// Asks a worker for its health and load; `Scheduler::health_check_ended` reports the end.
+    /// Asks a worker for its health and load. `Scheduler::health_check_ended` reports the end.
     fn send_health_check(&mut self, worker: WorkerId);
     /// Closes connections to a worker that carry no request.
     fn close_idle_connections(&mut self, worker: WorkerId);
-    /// Asks a worker to hold so many instances of a function, or with 0 how many it holds;
+    /// Asks a worker to have this many instances of a function loaded or, with 0, how many it has loaded.
     /// `Scheduler::load_request_ended` reports the end.
     fn send_load_request(&mut self, function: FunctionId, worker: WorkerId, instances: u32);
-    /// Lets a worker unload its instances of a function.
+    /// Allows a worker to unload its instances of a function.
     fn unload_instances(&mut self, function: FunctionId, worker: WorkerId);
-    /// Nothing is known or pending of this function any more; its index may name another.
+    /// Nothing is known about this function or pending for it any more. Its index may be reused.
     fn forget_function(&mut self, function: FunctionId);
-    /// Starts or stops following changes of the endpoint list.
+    /// Starts or stops watching the endpoint list for changes.
     fn watch_endpoints(&mut self, on: bool);
-    /// Asks for the endpoint list once.
+    /// Requests the endpoint list once.
     fn poll_endpoints(&mut self);
     /// Sends a message to one gateway of the fleet, or to all.
     fn send_to_peers(&mut self, peer: Option<u32>, bytes: &[u8]);
-    /// Attempts and load requests that have not left for a worker by then do not leave: they rest on what
-    /// is known of its being in service. Where lists have no age there is nothing to do.
+    /// Attempts and load requests that have not been sent to the worker by then must not be sent: they depend
+    /// on evidence that the worker is in service. Nothing needs to be done where endpoint lists have no age.
     fn limit_departures(&mut self, _worker: WorkerId, _until: Time) {}
-    /// Since when a connection to the worker has stood without a break; `Time::MAX` where none does. A
-    /// worker cannot have restarted unnoticed within that time.
+    /// The time since which a connection to the worker has stood without a break, or `Time::MAX` if there is
+    /// none. A worker cannot have restarted unnoticed since then.
     fn connected_since(&self, _worker: WorkerId) -> Time {
         0
     }
-    /// What a worker's own answers changed, for the log.
+    /// Reports a change of a worker's service state, for the log.
     fn service_changed(&mut self, _worker: WorkerId, _change: ServiceChange) {}
     /// Writes a line to the log.
     fn log_note(&mut self, text: &str);
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -1,4 +1,4 @@
-//! Turns id texts into small indices, for whoever runs the decisions. It decides nothing.
+//! Maps id texts to small indices, for the callers of the scheduler. Makes no decisions.
 use slab::Slab;
 use std::collections::HashMap;
 
@@ -7,8 +7,8 @@
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Texts and their indices. Looked up by text, never walked, so the map's order decides nothing. Indices are
-/// used again.
+/// Texts and their indices. The map is only used for lookups and never iterated, so its order has no effect.
+/// Indices are reused.
 #[derive(Default)]
 pub struct Interner {
     texts: Slab<String>,
@@ -16,7 +16,7 @@
 }
 
 impl Interner {
-    /// The index of a text, a new one where it has none.
+    /// Returns the index of a text, and assigns one if the text has none.
     pub fn intern(&mut self, text: &str) -> usize {
         if let Some(index) = self.indices.get(text) {
             return *index;
@@ -26,20 +26,21 @@
         index
     }
 
-    /// The index of a text, None where it has none.
+    /// Returns the index of a text, or None if it has none.
     pub fn get(&self, text: &str) -> Option<usize> {
         self.indices.get(text).copied()
     }
 
-    /// The text of an index.
+    /// Returns the text at an index.
     ///
     /// # Panics
-    /// Where the index has none.
+    ///
+    /// Panics if no text has this index.
     pub fn resolve(&self, index: usize) -> &str {
         &self.texts[index]
     }
 
-    /// Frees an index; it may then name another text.
+    /// Frees an index, which may then be assigned to another text.
     pub fn remove(&mut self, index: usize) {
         if let Some(text) = self.texts.try_remove(index) {
             self.indices.remove(&text);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! tidewall: decisions of a router before workers that keep only some of many programs loaded. None of it
-//! knows a wire.
+//! tidewall: the scheduler of a gateway that routes requests to workers, each of which keeps only some of
+//! many functions loaded. It is independent of any wire protocol.
 //!
-//! `choice` decides, `interface` is what it is called with and acts by. `settings` reads settings by name and
-//! `config` holds them; `scheduler`, `state`, `workers`,
-//! `service_evidence`, `endpoint_changes` and `load_history` are what is remembered; `lifecycle` and
-//! `endpoint_list` carry out what follows from a decision or an endpoint list; `counter`, `random` and
-//! `interner` are helpers.
+//! `choice` makes all decisions. `interface` defines the types and the trait through which the scheduler is
+//! called and acts. `settings` reads settings by name and `config` holds them. `scheduler`, `state`,
+//! `workers`, `service_evidence`, `endpoint_changes` and `load_history` hold the scheduler's state.
+//! `lifecycle` and `endpoint_list` do the bookkeeping that follows from a decision or an endpoint list.
+//! `counter`, `random` and `interner` are helpers.
 pub mod choice;
 pub mod config;
 pub mod counter;
--- a/src/load_history.rs
+++ b/src/load_history.rs
@@ -1,4 +1,5 @@
-//! What the rate limit of load requests counts: arithmetic on times, without any value of its own.
+//! The history that the rate limit of load requests is computed from: arithmetic on times, without any tuned
+//! value.
 use crate::interface::{Time, WorkerId};
 use std::collections::VecDeque;
 
@@ -19,16 +20,16 @@
 pub struct LoadHistory {
     /// When load requests were sent.
     pub sent: VecDeque<Time>,
-    /// Those of them after which nothing was heard of their worker.
+    /// Load requests since which nothing was received from their worker.
     unconfirmed: Vec<UnconfirmedLoad>,
-    /// Those whose worker was heard of only after some time.
+    /// Load requests whose worker answered only some time after they were sent.
     delayed: Vec<DelayedLoad>,
-    /// When requests arrived that count for the rate limit.
+    /// Arrival times of the requests that count for the rate limit.
     pub arrivals: VecDeque<Time>,
 }
 
 impl LoadHistory {
-    /// Drops load requests older than `window` and a margin, and arrivals older than `window` less the
+    /// Drops load requests older than `window` plus the margin, and arrivals older than `window` minus the
     /// margin.
     pub fn expire(&mut self, now: Time, window: Time, margin: Time) {
         self.sent.drain(..self.sent.partition_point(|sent_at| sent_at + window + margin < now));
@@ -36,13 +37,13 @@
         self.arrivals.drain(..old);
     }
 
-    /// Counts a load request that is sent now.
+    /// Records a load request that is sent now.
     pub fn load_sent(&mut self, now: Time, worker_id: WorkerId) {
         self.sent.push_back(now);
         self.unconfirmed.push(UnconfirmedLoad { worker_id, sent_at: now });
     }
 
-    /// The worker has received by now what was sent to it by the time `until`.
+    /// Records that the worker has received, by `now`, everything sent to it up to `until`.
     pub fn worker_received(&mut self, now: Time, worker_id: WorkerId, until: Time) {
         let received = |load: &mut UnconfirmedLoad| load.worker_id == worker_id && load.sent_at <= until;
         let received = self.unconfirmed.extract_if(.., received);
@@ -50,9 +51,9 @@
         self.delayed.extend(delayed);
     }
 
-    /// How many load requests are out of the window by their sending, but may have been received within it: a worker that
-    /// hung, or a connection that was opened for them, delayed them. One whose worker is not heard of may be received for
-    /// another window.
+    /// Number of load requests that were sent before the window, but may have been received within it because
+    /// a hanging worker or the opening of a connection delayed them. As long as nothing is received from its
+    /// worker, a load request may still be received for another window.
     pub fn delayed_loads(&mut self, now: Time, window: Time, margin: Time) -> usize {
         self.unconfirmed.retain(|load| load.sent_at + 2 * window + margin >= now);
         self.delayed.retain(|load| load.received_by + window + margin >= now);
@@ -61,13 +62,13 @@
         sent.filter(|sent_at| sent_at + window + margin < now).count()
     }
 
-    /// Counts an arrival that came earlier than others that are counted already.
+    /// Inserts an arrival that is earlier than others already recorded.
     pub fn add_past_arrival(&mut self, arrived_at: Time) {
         let position = self.arrivals.partition_point(|arrival| *arrival <= arrived_at);
         self.arrivals.insert(position, arrived_at);
     }
 
-    /// Arrivals at `time` or later.
+    /// Number of arrivals at `time` or later.
     pub fn arrivals_since(&self, time: Time) -> usize {
         self.arrivals.len() - self.arrivals.partition_point(|arrival| *arrival < time)
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! What one scheduler remembers, and lookups in it. Its decisions are in `choice`.
+//! The state of one scheduler, and lookups in it. The decisions are in `choice`.
 use crate::config::{RequestClass, SchedulerConfig, Tenant};
 use crate::endpoint_changes::EndpointChanges;
 use crate::interface::{EndpointState, FunctionId, RequestSlot, Time, WorkerId};
@@ -12,14 +12,14 @@
 
 /// Decides for one gateway which worker gets which request, and which instances are loaded where.
 ///
-/// It is made by `new` with the actions, the clock, a seed and the settings. Before each thing that happens
-/// `advance_clock` is called, and then one method for that: `update_endpoints`, `endpoint_update_failed`,
-/// `request_arrived` (after `next_request_slot` named the request's slot), `response_started`,
-/// `attempt_ended`, `client_abandoned`, `timer_fired`, `load_reported` (before the end of the health check or
-/// attempt that it came with), `health_check_ended`, `load_request_ended`, `peer_message_received`. It acts
-/// by `SchedulerActions` and knows no wire.
+/// It is created by `new` with the actions, the present time, a seed and the settings. Before each event the
+/// caller calls `advance_clock`, and then one method for the event: `update_endpoints`,
+/// `endpoint_update_failed`, `request_arrived` (after `next_request_slot` returned the request's slot),
+/// `response_started`, `attempt_ended`, `client_abandoned`, `timer_fired`, `load_reported` (before the end of
+/// the health check or attempt that it came with), `health_check_ended`, `load_request_ended`,
+/// `peer_message_received`. It acts through `SchedulerActions` and is independent of any wire protocol.
 pub struct Scheduler<A> {
-    /// Carries out what is decided.
+    /// Carries out the decisions.
     pub host: A,
     pub(crate) now: Time,
     pub(crate) started_at: Time,
@@ -30,28 +30,28 @@
     pub(crate) workers: Workers,
     /// How recent the endpoint list is.
     pub(crate) endpoint_list: EndpointListAge,
-    /// What the endpoint list changed that not all functions have taken in.
+    /// Changes of the endpoint list that some functions have not applied yet.
     pub(crate) endpoint_changes: EndpointChanges,
     pub(crate) functions: Vec<Function>,
     pub(crate) requests: Slab<Request>,
-    /// Requests that wait for a placement, oldest first; some no longer do.
+    /// Requests that wait for a placement, oldest first; includes some that do not wait any more.
     pub(crate) waiting: VecDeque<RequestSlot>,
     pub(crate) load_history: LoadHistory,
-    /// The sweep, counted from time 0, up to which the counts of instances were checked.
+    /// Number of the sweep, counted from time 0, up to which instance counts have been checked.
     pub(crate) last_sweep: Time,
     pub(crate) arrival_count: Counter,
     /// Requests and attempts that found no capacity.
     pub(crate) saturation_count: Counter,
     /// Smoothed share of attempts that end with a miss, from 0 to 1.
     pub(crate) miss_ratio: f64,
-    /// Smoothed share of answers that contradict the worker's report, from 0 to 1.
-    pub(crate) report_distrust: f64,
-    /// Standard cores that a unit of rating stands for, as busy workers' answers show.
+    /// Smoothed share of answers that contradict the worker's load report, from 0 to 1.
+    pub(crate) report_mismatch_ratio: f64,
+    /// Standard cores per unit of rating, estimated from the answers of busy workers.
     pub(crate) capacity_per_rating: f64,
 }
 
 impl<A> Scheduler<A> {
-    /// A scheduler that knows no worker and no function.
+    /// Creates a scheduler that knows no workers or functions.
     pub(crate) fn empty(
         host: A,
         now: Time,
@@ -78,32 +78,34 @@
             arrival_count: Counter::default(),
             saturation_count: Counter::default(),
             miss_ratio: 0.0,
-            report_distrust: 0.0,
+            report_mismatch_ratio: 0.0,
             capacity_per_rating: 1.0,
         }
     }
 
-    /// Sets the clock, before each other call; it never goes back.
+    /// Sets the clock before each other call. It never goes back.
     pub fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
     }
 
-    /// The slot that the next request to arrive will have.
+    /// Returns the slot that the next arriving request will have.
     pub fn next_request_slot(&self) -> RequestSlot {
         self.requests.vacant_key()
     }
 
-    /// Whether nothing is known or pending of this worker any more; then its index may name another. Guards
-    /// against machines that are replaced by new ones again and again.
+    /// Forgets the worker if nothing is known about it or pending for it any more, and returns whether it
+    /// did; its index may then be reused. Without this, state would grow where machines are replaced by new
+    /// ones again and again.
     pub fn forget_worker(&mut self, worker_id: WorkerId) -> bool {
         self.forget_workers(&[worker_id]) == [worker_id]
     }
 
-    /// Those of the workers of which nothing is known or pending any more; their indices may name others.
+    /// Forgets those of the workers about which nothing is known or pending any more, and returns them. Their
+    /// indices may be reused.
     pub fn forget_workers(&mut self, worker_ids: &[WorkerId]) -> Vec<WorkerId> {
         let end = self.endpoint_changes.end();
         if self.functions.iter().any(|function| function.live && function.changes_seen < end) {
-            // A change that names one of them is still to be taken in.
+            // A pending endpoint change may refer to one of the workers.
             return Vec::new();
         }
         let mut in_use = vec![false; self.workers.len()];
@@ -131,22 +133,22 @@
         forgotten
     }
 
-    /// Takes in a message of another gateway. Nothing is decided by it today.
+    /// Receives a message from another gateway. It has no effect at present.
     pub fn peer_message_received(&mut self, _peer: u32, _bytes: &[u8]) {}
 
-    /// Position of a worker among a function's placements.
+    /// Position of the placement on a worker in a function's list.
     pub(crate) fn placement_on(&self, function_id: FunctionId, worker_id: WorkerId) -> Option<usize> {
         let function = self.functions.get(function_id)?;
         let name_hash = self.workers.get(worker_id)?.endpoint.name_hash;
         function.position_of(worker_id, function.order_weight(name_hash))
     }
 
-    /// Listed as active, and not ejected.
+    /// Whether the worker is listed as active and not ejected.
     pub(crate) fn is_listed_available(&self, worker_id: WorkerId) -> bool {
         self.workers[worker_id].is_active() && self.workers[worker_id].ejected_until <= self.now
     }
 
-    /// An instance is loaded as far as is known: a sign of it is young enough.
+    /// Whether an instance is loaded as far as is known: one was used or renewed recently enough.
     pub(crate) fn is_loaded(&self, placement: &Placement) -> bool {
         let young = || self.now < placement.renewed_at + self.config.keep_alive;
         placement.instances == InstanceState::Loaded && (placement.in_flight > 0 || young())
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings as the wire names them: a plain map of names to values, read by name. It decides nothing. The
-//! names of the settings are those of the wire and stay as they are; here they are translated into the
-//! decisions' terms.
+//! The settings under their external names: a plain map of names to values. The names are part of the
+//! external interface and do not change; here they are translated into the scheduler's terms. Makes no
+//! decisions.
 use crate::choice::MAX_ATTEMPTS;
 use crate::config::{
     KeyScope, LoadRequestLimit, RequestClass, RetrySafety, SchedulerConfig, SlowStart, Tenant,
@@ -14,37 +14,38 @@
 
 /// Reads settings by name.
 pub trait SettingsReader {
-    /// The value as it is written; empty where it is left out.
+    /// The value as written; empty if the setting is left out.
     fn text(&self, key: &str) -> &str;
 
-    /// Whether the value is this one.
+    /// Whether the setting has this value.
     fn is(&self, key: &str, value: &str) -> bool {
         self.text(key) == value
     }
 
-    /// The value as a number; 0 where it is left out or none.
+    /// The value as a number; 0 if the setting is left out or not a number.
     fn number(&self, key: &str) -> f64 {
         self.text(key).parse().unwrap_or(0.0)
     }
 
-    /// The number where it is given and above 0, else another.
-    fn positive_or(&self, key: &str, otherwise: f64) -> f64 {
-        Some(self.number(key)).filter(|v| *v > 0.0).unwrap_or(otherwise)
+    /// The number if it is given and above 0, otherwise `otherwise`.
+    fn positive_or(&self, key: &str, default: f64) -> f64 {
+        Some(self.number(key)).filter(|v| *v > 0.0).unwrap_or(default)
     }
 
-    /// A span in tenths of a millisecond, rounded down, as spans in settings are limits; 0 where it is left
-    /// out.
+    /// The value in milliseconds as tenths of a millisecond, rounded down because time spans in settings are
+    /// limits; 0 if the setting is left out.
     fn duration(&self, key: &str) -> Time {
         (self.number(key) * 10.0).floor() as Time
     }
 
-    /// A span in tenths of a millisecond where it is given and above 0, else another.
-    fn duration_or(&self, key: &str, otherwise: f64) -> Time {
-        (self.positive_or(key, otherwise / 10.0) * 10.0).floor() as Time
+    /// The value in milliseconds as tenths of a millisecond if it is given and above 0, otherwise
+    /// `otherwise`.
+    fn duration_or(&self, key: &str, default: f64) -> Time {
+        (self.positive_or(key, default / 10.0) * 10.0).floor() as Time
     }
 
-    /// The request class at this index. An answer is wanted before the client gives up at the latest, also
-    /// where no latency objective is given.
+    /// The request class at this index. Without a latency objective, the client timeout is the objective, and
+    /// no objective exceeds the client timeout.
     fn request_class(&self, class: usize) -> RequestClass {
         let key = |name: &str| format!("classes.{class}.{name}");
         let client_timeout = self.duration_or(&key("deadline-ms"), MAX_DURATION);
@@ -59,13 +60,14 @@
         }
     }
 
-    /// The tenant at this index; where no quota is given it has no bound.
+    /// The tenant at this index. Without a quota its rate is unlimited.
     fn tenant(&self, tenant: usize) -> Tenant {
         let quota = self.positive_or(&format!("tenants.{tenant}.quota-per-s"), f64::MAX);
         Tenant { quota, ..Tenant::default() }
     }
 
-    /// What every request asks for. Where it is left out: one gateway alone, the most attempts, and no bound.
+    /// The settings that are needed for every request. Defaults: a single gateway, the maximum number of
+    /// attempts, and no other limits.
     fn scheduler_config(&self) -> SchedulerConfig {
         let reports = |name: &str| self.text("reporting.names").split(',').any(|n| n == name);
         let may_load = self.is("extra.orders", "true");
@@ -106,13 +108,13 @@
         }
     }
 
-    /// The longest Retry-After in tenths of a millisecond; 0 where none may be given.
+    /// The longest Retry-After in tenths of a millisecond; 0 if none may be given.
     fn max_retry_after(&self) -> Time {
         let key = "allowed.max-retry-after-ms";
-        let most = f64::from(u32::MAX);
-        let longest = if self.text(key).is_empty() { most } else { self.number(key) * 10.0 };
+        let upper_bound = f64::from(u32::MAX);
+        let longest = if self.text(key).is_empty() { upper_bound } else { self.number(key) * 10.0 };
         if self.is("allowed.retry-after", "true") {
-            longest.min(most) as Time
+            longest.min(upper_bound) as Time
         } else {
             0
         }
@@ -138,13 +140,13 @@
     }
 }
 
-/// The longest span that a setting may give, in tenths of a millisecond: some thirty years.
+/// The longest time span allowed in a setting, in tenths of a millisecond: some thirty years.
 pub const MAX_DURATION: f64 = 1e13;
 
-/// Numbers that mean nothing outside these bounds: name (a digit stands for any index of a list), least,
-/// most, and whether only whole ones do. Wide on purpose: they keep out what can't be meant, not what was not
-/// met yet.
-const NUMBERS: [(&str, f64, f64, bool); 17] = [
+/// Numeric settings with bounds: name (a 0 stands for any index of a list), least and greatest value, and
+/// whether the value must be whole. The bounds are wide on purpose: they reject values that cannot be
+/// intended, not values that are merely unusual.
+const NUMERIC_BOUNDS: [(&str, f64, f64, bool); 17] = [
     ("siblings", 1.0, 1e6, true),
     ("me", 0.0, 1e6, true),
     ("classes.count", 1.0, 1e4, true),
@@ -164,8 +166,8 @@
     ("deductions.probe", 0.0, 1e6, false),
 ];
 
-/// Settings that are either on or off.
-const FLAGS: [&str; 6] = [
+/// Settings that are either true or false.
+const BOOLEAN_KEYS: [&str; 6] = [
     "allowed.cancel",
     "allowed.may-duplicate",
     "allowed.peers",
@@ -174,25 +176,25 @@
     "extra.orders",
 ];
 
-/// A setting that can't be meant; its text names the setting in one line.
+/// An invalid setting. The error text names the setting in one line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
-    /// A span that is no number of milliseconds from 0 up to the longest.
+    /// Not a number of milliseconds from 0 up to the longest allowed time span.
     NotADuration {
         /// Name of the setting.
         key: String,
-        /// The part of its value that is meant.
+        /// The invalid part of its value.
         value: String,
     },
-    /// A number that is none or out of bounds.
+    /// Not a number, or a number out of bounds.
     NotANumber {
         /// Name of the setting.
         key: String,
         /// Its value.
         value: String,
-        /// Whether only whole numbers will do.
+        /// Whether the value must be a whole number.
         whole: bool,
-        /// The least and the most that will do.
+        /// The least and the greatest allowed value.
         bounds: (f64, f64),
     },
     /// Neither true nor false.
@@ -202,16 +204,16 @@
         /// Its value.
         value: String,
     },
-    /// A setting without which nothing can be decided is left out.
+    /// A required setting is left out.
     Missing {
         /// Name of the setting.
         key: &'static str,
     },
-    /// This gateway's index is not among those of the gateways.
+    /// The index of this gateway is not below the number of gateways.
     IndexOutOfRange {
         /// The index.
         index: f64,
-        /// The number of gateways as it is written.
+        /// The number of gateways as written in the settings.
         gateways: String,
     },
     /// A class with neither a latency objective nor a client timeout.
@@ -251,8 +253,8 @@
     }
 }
 
-/// Finds the first setting that can't be meant. What is left out has its default, and names that are not
-/// known are passed over.
+/// Returns an error for the first invalid setting. Settings that are left out have defaults, and unknown
+/// names are ignored.
 pub fn validate(settings: &Settings) -> Result<(), SettingsError> {
     settings.iter().try_for_each(|(key, value)| validate_value(key, value))?;
     if settings.text("classes.count").is_empty() {
@@ -271,23 +273,23 @@
     Ok(())
 }
 
-/// One setting by itself.
+/// Validates one setting by itself.
 fn validate_value(key: &str, value: &str) -> Result<(), SettingsError> {
     let (own_key, own_value) = (key.to_string(), value.to_string());
-    let part = |p: &str| if p.parse::<u32>().is_ok() { "0".to_string() } else { p.to_string() };
-    let name = key.split('.').map(part).collect::<Vec<_>>().join(".");
+    let normalize_part = |p: &str| if p.parse::<u32>().is_ok() { "0".to_string() } else { p.to_string() };
+    let name = key.split('.').map(normalize_part).collect::<Vec<_>>().join(".");
     if name.ends_with("-ms") {
-        let good = |part: &&str| part.parse().is_ok_and(|v: f64| (0.0..MAX_DURATION / 10.0).contains(&v));
-        if let Some(bad) = value.split(',').find(|part| !good(part)) {
+        let is_valid = |part: &&str| part.parse().is_ok_and(|v: f64| (0.0..MAX_DURATION / 10.0).contains(&v));
+        if let Some(bad) = value.split(',').find(|part| !is_valid(part)) {
             return Err(SettingsError::NotADuration { key: own_key, value: bad.to_string() });
         }
-    } else if let Some((_, least, most, whole)) = NUMBERS.iter().find(|n| n.0 == name) {
-        let good = |v: f64| (*least..=*most).contains(&v) && (!whole || v.fract() == 0.0);
-        if !value.parse().is_ok_and(good) {
+    } else if let Some((_, least, most, whole)) = NUMERIC_BOUNDS.iter().find(|n| n.0 == name) {
+        let is_valid = |v: f64| (*least..=*most).contains(&v) && (!whole || v.fract() == 0.0);
+        if !value.parse().is_ok_and(is_valid) {
             let (whole, bounds) = (*whole, (*least, *most));
             return Err(SettingsError::NotANumber { key: own_key, value: own_value, whole, bounds });
         }
-    } else if FLAGS.contains(&name.as_str()) && !matches!(value, "true" | "false") {
+    } else if BOOLEAN_KEYS.contains(&name.as_str()) && !matches!(value, "true" | "false") {
         return Err(SettingsError::NotABoolean { key: own_key, value: own_value });
     }
     Ok(())
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -1,25 +1,25 @@
-//! The workers of one scheduler, with sums over them that are kept up to date: a decision looks at the workers that it is
-//! about, never at all of them. It decides nothing.
+//! The workers of one scheduler, with sums over them that are kept up to date, so that a decision only visits
+//! the workers that it concerns and never all of them. Makes no decisions.
 use crate::interface::{Time, WorkerId};
 use crate::state::Worker;
 use std::cell::{RefCell, RefMut};
 use std::ops::{Deref, Index, IndexMut};
 use std::rc::Rc;
 
-/// What the warm workers together do, by which the budget of workers in slow start is counted.
+/// Total capacity of the warm workers, from which the budgets of workers in slow start are computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WarmCapacity {
-    /// How many there are.
+    /// Number of warm workers.
     pub count: f64,
-    /// The sum of their ratings.
+    /// Sum of their ratings.
     pub ratings: f64,
-    /// Half of the work that they completed within the span of its counter.
+    /// Half of the work that they completed within the counter's span.
     pub work: f64,
 }
 
-/// A worker's part in the sums, as it was last counted.
+/// The values of a worker that are included in the sums.
 #[derive(Clone, Copy, Default, PartialEq)]
-struct Counted {
+struct CountedWorker {
     name_hash: u64,
     active: bool,
     in_flight: u32,
@@ -27,7 +27,7 @@
     rating: f64,
 }
 
-/// Count and ratings of the warm workers, with the time at which the next one becomes warm.
+/// Count and ratings of the warm workers, valid until the next worker becomes warm.
 #[derive(Clone, Copy)]
 struct WarmCount {
     count: f64,
@@ -35,38 +35,39 @@
     until: Time,
 }
 
-/// The sums. Integers, so that the order in which workers were counted does not show.
+/// The sums. They are integers, so that the order in which workers were counted has no effect.
 #[derive(Default)]
 struct Sums {
-    counted: Vec<Counted>,
+    counted: Vec<CountedWorker>,
     active: u32,
     in_flight: u32,
-    /// The active workers with the hashes of their names; none where they have changed.
+    /// The active workers with the hashes of their names; None after they have changed.
     active_names: Option<Rc<[(u64, WorkerId)]>>,
-    /// Workers with completed work that may still be within the span of its counter.
+    /// Workers with completed work that may still be within the counter's span.
     busy: Vec<WorkerId>,
     is_busy: Vec<bool>,
     /// Workers that were ejected and may still be.
     ejected: Vec<WorkerId>,
     is_ejected: Vec<bool>,
     warm: Option<WarmCount>,
-    /// The work of the warm workers, and the time at which it was summed up.
+    /// The time at which the work of the warm workers was last summed, and the sum.
     work: Option<(Time, f64)>,
 }
 
 /// Workers that may have changed since they were last counted.
 #[derive(Default)]
-struct Changed {
+struct ChangedWorkers {
     workers: Vec<WorkerId>,
-    /// By worker: whether it is among them.
+    /// By worker id: whether it is in `workers`.
     contains: Vec<bool>,
 }
 
-/// All workers by their index. Whoever changes one by its index need not tell: it is counted anew before the next sum is read.
+/// All workers by their index. Mutable access by index marks a worker as changed; it is counted again before
+/// the next sum is read.
 #[derive(Default)]
 pub struct Workers {
     list: Vec<Worker>,
-    changed: RefCell<Changed>,
+    changed: RefCell<ChangedWorkers>,
     sums: RefCell<Sums>,
 }
 
@@ -97,20 +98,21 @@
 }
 
 impl Workers {
-    /// Makes room for a worker of this index.
+    /// Grows the list so that it contains this index.
     pub fn grow(&mut self, worker_id: WorkerId) {
         let len = self.list.len().max(worker_id + 1);
         self.list.resize_with(len, Worker::default);
         self.changed.get_mut().contains.resize(len, false);
     }
 
-    /// How many workers the endpoint list has as taking requests, and what this gateway has in flight at them.
+    /// The number of workers that the endpoint list says take requests, and this gateway's requests in flight
+    /// at them.
     pub fn active(&self) -> (u32, u32) {
         let sums = self.counted();
         (sums.active, sums.in_flight)
     }
 
-    /// Active workers that are ejected at `now`.
+    /// Number of active workers that are ejected at `now`.
     pub fn ejected(&self, now: Time) -> usize {
         let mut sums = self.counted();
         let Sums { ejected, is_ejected, .. } = &mut *sums;
@@ -133,7 +135,8 @@
         list
     }
 
-    /// What the warm workers do at `now`; `warm_at` gives when a worker is warm.
+    /// Returns the capacity of the warm workers at `now`. `warm_at` returns the time at which a worker is
+    /// warm.
     pub fn warm_capacity(&self, now: Time, warm_at: impl Fn(&Worker) -> Time) -> WarmCapacity {
         let mut sums = self.counted();
         let warm = match sums.warm.filter(|warm| now < warm.until) {
@@ -149,7 +152,7 @@
         WarmCapacity { count: warm.count, ratings: warm.ratings, work }
     }
 
-    /// In the order of their indices, as sums of ratings depend on it.
+    /// Counts in the order of the indices, because the sum of the ratings depends on the order.
     fn count_warm(&self, now: Time, warm_at: &impl Fn(&Worker) -> Time) -> WarmCount {
         let mut warm = WarmCount { count: 0.0, ratings: 0.0, until: Time::MAX };
         for worker in self.list.iter().filter(|worker| worker.is_active()) {
@@ -178,17 +181,17 @@
         work
     }
 
-    /// The sums, with all workers counted anew that may have changed.
+    /// Returns the sums after counting all workers again that may have changed.
     fn counted(&self) -> RefMut<'_, Sums> {
         let (mut changed, mut sums) = (self.changed.borrow_mut(), self.sums.borrow_mut());
         if changed.workers.is_empty() {
             return sums;
         }
         let len = self.list.len();
-        sums.counted.resize(len, Counted::default());
+        sums.counted.resize(len, CountedWorker::default());
         sums.is_busy.resize(len, false);
         sums.is_ejected.resize(len, false);
-        let Changed { workers, contains } = &mut *changed;
+        let ChangedWorkers { workers, contains } = &mut *changed;
         for worker_id in workers.drain(..) {
             contains[worker_id] = false;
             sums.count(worker_id, &self.list[worker_id]);
@@ -201,7 +204,7 @@
 impl Sums {
     fn count(&mut self, worker_id: WorkerId, worker: &Worker) {
         let before = self.counted[worker_id];
-        let after = Counted {
+        let after = CountedWorker {
             name_hash: worker.endpoint.name_hash,
             active: worker.is_active(),
             in_flight: worker.in_flight,
@@ -218,7 +221,7 @@
         if (before.active, before.name_hash) != (after.active, after.name_hash) {
             self.active_names = None;
         }
-        if before != (Counted { in_flight: before.in_flight, ..after }) {
+        if before != (CountedWorker { in_flight: before.in_flight, ..after }) {
             self.warm = None;
         }
         if !worker.completed_work.is_empty() && !std::mem::replace(&mut self.is_busy[worker_id], true) {
