--- a/src/choice/load_requests.rs
+++ b/src/choice/load_requests.rs
@@ -161,8 +161,8 @@
             // The load time estimate rises at once and falls slowly, because a load that another gateway
             // requested earlier seems short.
             if !is_query && placement.instances == InstanceState::Loading {
-                let took = (now - placement.renewed_at) as f64;
-                function.load_time = smooth(function.load_time, took).max(took);
+                let elapsed = (now - placement.renewed_at) as f64;
+                function.load_time = smooth(function.load_time, elapsed).max(elapsed);
             }
             (placement.instances, placement.renewed_at) = (InstanceState::Loaded, now);
         } else {
--- a/src/choice/outcomes.rs
+++ b/src/choice/outcomes.rs
@@ -8,7 +8,7 @@
         &mut self,
         slot: RequestSlot,
         attempt: usize,
-        (outcome, took): (Outcome, Time),
+        (outcome, elapsed): (Outcome, Time),
         finished: bool,
         note: u32,
     ) {
@@ -19,7 +19,7 @@
         let (worker_id, note) = (before.worker_id, AttemptNote(note));
         self.record_worker_response(worker_id, outcome);
         self.confirm_function(info.function, outcome);
-        let ended = EndedAttempt { attempt: before, position, info, outcome, took, note };
+        let ended = EndedAttempt { attempt: before, position, info, outcome, elapsed, note };
         self.update_estimates(&ended);
         match outcome {
             Outcome::Ok => self.attempt_succeeded(&ended),
@@ -70,7 +70,7 @@
     /// Updates the estimates that every outcome contributes to: concurrency, whether reports are accurate,
     /// the miss ratio, and capacity per rating.
     fn update_estimates(&mut self, ended: &EndedAttempt) {
-        let EndedAttempt { position, info, outcome, took, note, .. } = *ended;
+        let EndedAttempt { position, info, outcome, elapsed, note, .. } = *ended;
         let (reported_load, worker_id) = (ended.attempt.reported_load, ended.attempt.worker_id);
         if matches!(outcome, Outcome::Ok | Outcome::AtCapacity) {
             let function = &mut self.functions[info.function];
@@ -87,7 +87,7 @@
         }
         update_mean(&mut self.miss_ratio, indicator(outcome == Outcome::Miss), 32.0);
         if outcome == Outcome::Ok && reported_load > 0.0 && info.cost_hint > 0 {
-            let capacity = (reported_load * info.cost_hint as f64 / took as f64).min(8.0);
+            let capacity = (reported_load * info.cost_hint as f64 / elapsed as f64).min(8.0);
             let parts = if capacity > self.capacity_per_rating { 16.0 } else { 32.0 };
             update_mean(&mut self.capacity_per_rating, capacity, parts);
         }
@@ -95,8 +95,8 @@
 
     /// Updates the estimates after a successful attempt.
     pub(super) fn attempt_succeeded(&mut self, ended: &EndedAttempt) {
-        let EndedAttempt { attempt, position, info, took, note, .. } = ended;
-        let (now, worker_id, latency) = (self.now, attempt.worker_id, *took as f64);
+        let EndedAttempt { attempt, position, info, elapsed, note, .. } = ended;
+        let (now, worker_id, latency) = (self.now, attempt.worker_id, *elapsed as f64);
         let class = &mut self.classes[info.class];
         let (objective, function) = (class.objective_for(info), &mut self.functions[info.function]);
         update_mean(&mut class.observed_objective, class.latency_objective as f64, 64.0);
@@ -111,7 +111,7 @@
         function.warm_latency = if is_known { smooth(function.warm_latency, latency) } else { latency };
         class.warm_latency = smooth(class.warm_latency, latency);
         class.mean_cost = smooth(class.mean_cost, info.cost_hint as f64);
-        let is_late = *took > lateness_limit(class, info);
+        let is_late = *elapsed > lateness_limit(class, info);
         let worker = &mut self.workers[worker_id];
         // At most the work that fits in the span of the counter.
         worker.completed_work.add(now, class.warm_latency.min(Counter::SPAN as f64) as u32);
@@ -121,7 +121,7 @@
             self.record_failure(worker_id);
         } else if attempt.sent_at >= self.workers[worker_id].ejected_until {
             // Only an answer to an attempt sent after the ejection ended clears the failures.
-            (self.workers[worker_id].failures, self.workers[worker_id].ejection_time) = (0, 0);
+            (self.workers[worker_id].failures, self.workers[worker_id].ejection_duration) = (0, 0);
         }
     }
 
--- a/src/choice/outliers.rs
+++ b/src/choice/outliers.rs
@@ -40,13 +40,13 @@
         let worker = &mut self.workers[worker_id];
         worker.failures += u32::from(!overloaded);
         // Two late answers in a row are common, three are rare.
-        let is_tolerated = worker.failures < 3 && worker.ejection_time == 0;
+        let is_tolerated = worker.failures < 3 && worker.ejection_duration == 0;
         if !overloaded && !is_tolerated && worker.ejected_until <= now && (ejected + 1) * 3 <= count {
-            let duration = (worker.ejection_time * 2).clamp(SECOND, 8 * SECOND);
+            let duration = (worker.ejection_duration * 2).clamp(SECOND, 8 * SECOND);
             // The end of the ejection is jittered: otherwise all gateways would try a worker that still fails
             // together.
             let until = now + self.jitter(duration);
-            (self.workers[worker_id].ejection_time, self.workers[worker_id].ejected_until) =
+            (self.workers[worker_id].ejection_duration, self.workers[worker_id].ejected_until) =
                 (duration, until);
         }
     }
--- a/src/choice/service_answers.rs
+++ b/src/choice/service_answers.rs
@@ -34,7 +34,7 @@
             // A draining worker rejects attempts without looking for the instance, so either outcome shows
             // that this one was in service.
             (Question::Attempt, Outcome::Ok | Outcome::Miss) => {
-                service.took_work_at = service.took_work_at.max(asked_at);
+                service.accepted_work_at = service.accepted_work_at.max(asked_at);
                 service.rejections = 0;
             }
             // The worker is full or draining, and a service check decides which. While the list is confirmed,
--- a/src/choice/tests/endpoint_age.rs
+++ b/src/choice/tests/endpoint_age.rs
@@ -1,15 +1,15 @@
-//! What stands in for the endpoint list while discovery is out of reach.
+//! Evidence of service while the endpoint list is overdue.
 use super::help::*;
 use crate::interface::*;
 use crate::state::{Attempt, AttemptState, Request};
 use test_case::test_case;
 
 const GRACE: [(&str, &str); 2] = [("rules.drain-grace-ms", "1000"), ("allowed.probes", "true")];
-/// What of the grace period is left for the way to the worker.
-const HOLDS: Time = SECOND - 100 * MS;
+/// How long evidence holds: the grace period less the margin for the way to the worker.
+const EVIDENCE_LIFETIME: Time = SECOND - 100 * MS;
 
-/// A gateway whose list was last proven now and is overdue a tenth of a millisecond later; function 0 is loaded on the first
-/// `n` workers.
+/// A scheduler whose list was last confirmed at `NOW` and is overdue a tenth of a millisecond later. Function
+/// 0 is loaded on the first `n` workers.
 fn scheduler_in_outage(n: usize) -> TestScheduler {
     let mut scheduler = scheduler_with(4, &GRACE);
     load_first(&mut scheduler, 0, n);
@@ -19,7 +19,7 @@
 
 fn advance(scheduler: &mut TestScheduler, span: Time) {
     scheduler.advance_clock(scheduler.now + span);
-    // Instances stay loaded; their age is no matter here.
+    // Keeps the instances loaded, because their age does not matter here.
     let now = scheduler.now;
     scheduler.functions[0].placements.iter_mut().for_each(|placement| placement.renewed_at = now);
 }
@@ -40,7 +40,7 @@
     scheduler.worker_answered(worker_id, WorkerAnswer { question, outcome, asked_at, instances });
 }
 
-/// A request that has two seconds from now on.
+/// A request whose deadline is two seconds from now.
 fn send_now(scheduler: &mut TestScheduler) -> RequestSlot {
     let slot = scheduler.next_request_slot();
     scheduler.request_arrived(RequestInfo { deadline: scheduler.now + 2 * SECOND, ..request_info(0) });
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn while_answers_come_in_time_no_worker_is_asked() {
+fn no_worker_is_checked_while_the_list_is_not_overdue() {
     let mut scheduler = scheduler_in_outage(1);
     scheduler.endpoint_list_confirmed(NOW, NOW + 2 * SECOND);
     advance(&mut scheduler, 2 * SECOND - 1);
@@ -62,35 +62,35 @@
     assert_eq!(checked_workers(&scheduler), []);
 }
 
-#[test_case(HOLDS - 1, true; "within the grace period")]
-#[test_case(HOLDS, false; "after it")]
-fn an_overdue_list_holds_for_the_grace_period(age: Time, holds: bool) {
+#[test_case(EVIDENCE_LIFETIME - 1, true; "within the grace period")]
+#[test_case(EVIDENCE_LIFETIME, false; "after it")]
+fn an_overdue_list_holds_for_the_grace_period(age: Time, is_valid: bool) {
     let mut scheduler = scheduler_in_outage(1);
     advance(&mut scheduler, age);
     let first = worker_at(&scheduler, 0, 0);
     send_now(&mut scheduler);
-    assert_eq!(attempted_workers(&scheduler).contains(&first), holds);
-    assert_eq!(checked_workers(&scheduler).contains(&first), !holds);
+    assert_eq!(attempted_workers(&scheduler).contains(&first), is_valid);
+    assert_eq!(checked_workers(&scheduler).contains(&first), !is_valid);
 }
 
 #[test_case(Question::Attempt, Outcome::Ok, true; "it executed an attempt")]
 #[test_case(Question::Attempt, Outcome::Miss, true; "it looked for the instance")]
-#[test_case(Question::Attempt, Outcome::Error, false; "an error may come from anywhere")]
-#[test_case(Question::LoadRequest, Outcome::Ok, false; "it may have begun to drain since")]
-#[test_case(Question::HealthCheck, Outcome::Ok, false; "it calls itself healthy, and was not asked more")]
-fn work_that_it_took_proves_a_worker(question: Question, outcome: Outcome, proves: bool) {
+#[test_case(Question::Attempt, Outcome::Error, false; "an error proves nothing")]
+#[test_case(Question::LoadRequest, Outcome::Ok, false; "it may have started to drain since")]
+#[test_case(Question::HealthCheck, Outcome::Ok, false; "a health check alone is not enough")]
+fn accepted_work_confirms_a_worker(question: Question, outcome: Outcome, is_confirmed: bool) {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
-    advance(&mut scheduler, HOLDS);
+    advance(&mut scheduler, EVIDENCE_LIFETIME);
     answer(&mut scheduler, first, question, outcome);
-    advance(&mut scheduler, HOLDS - 1);
-    assert_eq!(scheduler.is_confirmed(first), proves);
+    advance(&mut scheduler, EVIDENCE_LIFETIME - 1);
+    assert_eq!(scheduler.is_confirmed(first), is_confirmed);
     advance(&mut scheduler, 1);
     assert!(!scheduler.is_confirmed(first));
 }
 
 #[test]
-fn a_request_waits_for_the_answer_and_then_goes() {
+fn a_request_waits_for_the_answer_and_is_then_sent() {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, 2 * SECOND);
@@ -101,9 +101,9 @@
 }
 
 #[test_case(Question::HealthCheck, Outcome::Error; "unhealthy")]
-#[test_case(Question::InstanceQuery, Outcome::AtCapacity; "no room for none")]
+#[test_case(Question::InstanceQuery, Outcome::AtCapacity; "query rejected for lack of capacity")]
 #[test_case(Question::HealthCheck, Outcome::TimedOut; "silent")]
-fn a_worker_that_denies_service_gives_its_place_to_the_next(question: Question, outcome: Outcome) {
+fn a_worker_that_denies_service_is_replaced_by_the_next(question: Question, outcome: Outcome) {
     let mut scheduler = scheduler_in_outage(1);
     let [first, second] = [0, 1].map(|position| worker_at(&scheduler, 0, position));
     advance(&mut scheduler, 2 * SECOND);
@@ -115,15 +115,15 @@
     };
     answer(&mut scheduler, first, other, Outcome::Ok);
     assert!(!scheduler.is_available(first));
-    assert!(checked_workers(&scheduler).contains(&second), "the next is asked");
+    assert!(checked_workers(&scheduler).contains(&second), "the next worker is checked");
     confirm(&mut scheduler, second);
-    assert!(load_request_count(&scheduler) > 0, "and is to have the instance");
+    assert!(load_request_count(&scheduler) > 0, "and is asked to load an instance");
     assert_eq!(attempted_workers(&scheduler), []);
 }
 
-/// Clients call functions that there are not, and workers answer queries for those with an error.
+/// Clients may call functions that do not exist, and workers answer queries for those with an error.
 #[test]
-fn a_worker_that_does_not_know_a_function_denies_nothing() {
+fn a_worker_that_does_not_know_a_function_does_not_deny_service() {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, SECOND / 2);
@@ -131,13 +131,13 @@
     assert!(scheduler.is_confirmed(first) && scheduler.is_available(first));
     advance(&mut scheduler, SECOND);
     answer(&mut scheduler, first, Question::InstanceQuery, Outcome::Error);
-    assert!(!scheduler.is_confirmed(first), "nor does it prove anything alone");
+    assert!(!scheduler.is_confirmed(first), "the answer alone does not confirm the worker either");
     answer(&mut scheduler, first, Question::HealthCheck, Outcome::Ok);
     assert!(scheduler.is_confirmed(first));
 }
 
 #[test]
-fn a_rejection_in_an_outage_is_asked_about_before_the_next_attempt() {
+fn a_rejection_in_an_outage_is_followed_by_a_service_check() {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, SECOND / 2);
@@ -145,16 +145,17 @@
     assert_eq!(attempted_workers(&scheduler), [first]);
     answer(&mut scheduler, first, Question::Attempt, Outcome::AtCapacity);
     scheduler.attempt_ended(slot, 0, (Outcome::AtCapacity, 1), false, 0);
-    assert_eq!(attempted_workers(&scheduler), [first], "not again to the same worker at once");
+    assert_eq!(attempted_workers(&scheduler), [first], "no second attempt at the same worker at once");
     assert_eq!(checked_workers(&scheduler), [first]);
     advance(&mut scheduler, 1);
     confirm(&mut scheduler, first);
     assert_eq!(attempted_workers(&scheduler), [first, first], "it was only full");
 }
 
-/// Whatever it says of itself: full workers reject now and then, draining ones always.
-#[test_case(2, true; "two may be chance")]
-#[test_case(3, false; "three are not")]
+/// A full worker rejects attempts now and then, a draining one always, so consecutive rejections count as a
+/// denial whatever the worker answers to service checks.
+#[test_case(2, true; "two are tolerated")]
+#[test_case(3, false; "three are a denial")]
 fn rejections_in_a_row_count_as_a_denial(count: u32, is_available: bool) {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
@@ -168,10 +169,14 @@
     assert!(scheduler.is_available(first));
 }
 
-#[test_case(SECOND, 1, false; "it is the same process")]
-#[test_case(SECOND, 0, true; "it is empty")]
-#[test_case(3 * SECOND, 1, true; "others may have loaded it anew")]
-fn a_worker_that_was_away_and_has_its_instances_did_not_restart(away: Time, instances: u32, restarted: bool) {
+#[test_case(SECOND, 1, false; "instances after a short absence")]
+#[test_case(SECOND, 0, true; "no instances")]
+#[test_case(3 * SECOND, 1, true; "instances may have been loaded again")]
+fn a_worker_with_instances_after_a_short_absence_did_not_restart(
+    away: Time,
+    instances: u32,
+    restarted: bool,
+) {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, 2 * SECOND);
@@ -184,10 +189,10 @@
     assert_eq!(scheduler.workers[first].endpoint.started_at > 0, restarted);
 }
 
-/// Another connection that does not come about, beside one that stands, says nothing of the worker.
+/// If another connection stands, a connection that cannot be opened proves nothing about the worker.
 #[test_case(NOW, true)]
 #[test_case(Time::MAX, false)]
-fn a_worker_is_unreachable_once_no_connection_stands(connected_since: Time, is_available: bool) {
+fn a_worker_is_unreachable_only_without_a_connection(connected_since: Time, is_available: bool) {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, SECOND);
@@ -196,9 +201,10 @@
     assert_eq!(scheduler.is_available(first), is_available);
 }
 
-/// Of four workers that this gateway lost at one moment two are taken for cold: the others go on.
+/// This gateway loses its connections to four workers at the same moment. Only two of them may be presumed
+/// cold.
 #[test]
-fn not_more_than_half_of_the_workers_are_taken_for_cold() {
+fn at_most_half_of_the_workers_are_presumed_cold() {
     let mut scheduler = scheduler_in_outage(1);
     advance(&mut scheduler, 2 * SECOND);
     scheduler.host.1 = Time::MAX;
@@ -211,7 +217,7 @@
     assert!((0..4).all(|worker_id| scheduler.is_available(worker_id)));
 }
 
-/// Another worker may be at its address: repeats by key wait for the list.
+/// Another worker may be at the address, so retries by key wait until the list is confirmed.
 #[test]
 fn a_keyed_retry_does_not_go_to_a_worker_that_came_back_unlisted() {
     let mut scheduler = scheduler_in_outage(1);
@@ -229,7 +235,7 @@
 }
 
 #[test]
-fn with_nobody_in_service_the_answer_comes_at_once() {
+fn without_a_worker_in_service_a_request_is_rejected_at_once() {
     let mut scheduler = scheduler_in_outage(1);
     advance(&mut scheduler, 2 * SECOND);
     for worker_id in 0..4 {
@@ -242,7 +248,7 @@
 }
 
 #[test]
-fn a_worker_that_is_back_is_taken_for_cold() {
+fn a_worker_that_comes_back_is_presumed_cold() {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, 2 * SECOND);
@@ -254,9 +260,9 @@
     assert_eq!(scheduler.workers[first].endpoint.started_at, scheduler.now);
 }
 
-#[test_case(SECOND, true; "a while later")]
+#[test_case(SECOND, true; "after a while")]
 #[test_case(SECOND / 4, false; "at once")]
-fn a_connection_that_is_opened_anew_shows_a_restart(after: Time, restarted: bool) {
+fn a_connection_that_is_reopened_late_indicates_a_restart(after: Time, restarted: bool) {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     advance(&mut scheduler, 2 * SECOND);
@@ -268,19 +274,19 @@
 }
 
 #[test]
-fn load_requests_need_the_same_proof() {
+fn load_requests_require_a_confirmed_worker() {
     let mut scheduler = scheduler_in_outage(1);
     let first = worker_at(&scheduler, 0, 0);
     let load = |scheduler: &mut TestScheduler| scheduler.load_instances(0, 0, 1, true);
-    advance(&mut scheduler, HOLDS);
+    advance(&mut scheduler, EVIDENCE_LIFETIME);
     assert!(!load(&mut scheduler));
     confirm(&mut scheduler, first);
     assert!(load(&mut scheduler));
 }
 
-/// Without health checks and queries nothing can be asked that is exempt: attempts go on.
+/// Without health checks and queries there is no exempt way to check workers, so attempts continue.
 #[test]
-fn where_nothing_may_be_asked_the_service_goes_on() {
+fn attempts_continue_where_no_checks_are_allowed() {
     let mut scheduler = scheduler_with(4, &[("extra.orders", "false"), ("extra.if-cold", "load")]);
     load_first(&mut scheduler, 0, 1);
     scheduler.endpoint_list_confirmed(NOW, NOW);
--- a/src/choice/tests/help.rs
+++ b/src/choice/tests/help.rs
@@ -1,4 +1,4 @@
-//! Builds gateways in a given state and records what they do.
+//! Builds schedulers in a given state and records their calls.
 use super::super::*;
 
 /// One call of `SchedulerActions`.
@@ -15,7 +15,8 @@
     Timer(Time, u64),
 }
 
-/// Records what a scheduler calls for; beside it since when connections to workers stand.
+/// Records the calls of a scheduler. The second field is the time since which connections to workers have
+/// stood.
 #[derive(Default)]
 pub struct Calls(pub Vec<Call>, pub Time);
 
@@ -34,7 +35,7 @@
     }
     fn release_request(&mut self, _slot: RequestSlot) {}
     fn set_timer(&mut self, delay: Time, token: u64) {
-        // That of the sweep comes all the time and is no matter of tests.
+        // The sweep timer is set continually and does not matter for the tests.
         if token > 0 {
             self.0.push(Call::Timer(delay, token));
         }
@@ -65,16 +66,18 @@
 
 pub const NOW: Time = 1_000_000;
 
-/// Three request types, one of each kind, that want an answer in a second; `more` adds to the settings.
+/// Three request classes, one for each kind of retry safety, with a latency objective of a second. `more`
+/// overrides or adds settings.
 pub fn settings(more: &[(&str, &str)]) -> Settings {
     let base = "tick-ms=1 classes.count=3 classes.0.aim-ms=1000 classes.0.worth=2 classes.0.late-worth=0.1 \
         classes.0.semantics=read_like classes.1.aim-ms=1000 classes.1.worth=4 classes.1.late-worth=0.1 \
-        classes.1.semantics=idempotency_key classes.1.group=zone classes.1.window-ms=500 classes.2.aim-ms=1000 \
-        classes.2.worth=4 classes.2.late-worth=0.1 classes.2.semantics=non_idempotent allowed.max-attempts=3 \
-        allowed.may-duplicate=true allowed.cancel=true allowed.retry-after=true allowed.max-retry-after-ms=100 \
-        extra.orders=true extra.if-cold=miss extra.stays-loaded-ms=8000 siblings=2 over-share-worth=0.1 \
-        rules.cold-from=0.2 rules.cold-ms=10000 rules.tip-multiple=2.5 rules.overload-for-ms=1000 \
-        tenants.count=1 tenants.0.quota-per-s=20";
+        classes.1.semantics=idempotency_key classes.1.group=zone classes.1.window-ms=500 \
+        classes.2.aim-ms=1000 classes.2.worth=4 classes.2.late-worth=0.1 \
+        classes.2.semantics=non_idempotent allowed.max-attempts=3 allowed.may-duplicate=true \
+        allowed.cancel=true allowed.retry-after=true allowed.max-retry-after-ms=100 extra.orders=true \
+        extra.if-cold=miss extra.stays-loaded-ms=8000 siblings=2 over-share-worth=0.1 rules.cold-from=0.2 \
+        rules.cold-ms=10000 rules.tip-multiple=2.5 rules.overload-for-ms=1000 tenants.count=1 \
+        tenants.0.quota-per-s=20";
     let pairs = base.split_whitespace().map(|p| p.split_once('=').unwrap()).chain(more.iter().copied());
     pairs.map(|(k, v)| (k.to_string(), v.to_string())).collect()
 }
@@ -83,11 +86,11 @@
 pub const LARGE_FLEET: [(&str, &str); 3] =
     [("siblings", "300"), ("allowed.probes", "true"), ("reporting.names", "rif,busy")];
 
-/// Four load requests and a fifth of the requests in ten seconds.
+/// Rate limit: four load requests, plus a fifth of the number of requests, in ten seconds.
 pub const LOAD_LIMIT: [(&str, &str); 3] =
     [("extra.load-window-ms", "10000"), ("extra.free-loads", "4"), ("extra.load-share", "0.2")];
 
-/// A warm worker in the endpoint list.
+/// Endpoint list entry of a warm worker.
 pub fn endpoint_entry(worker_id: WorkerId) -> (WorkerId, Endpoint) {
     let hash = (worker_id as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (
@@ -102,7 +105,7 @@
     )
 }
 
-/// A gateway that has run for long and knows `workers` warm workers.
+/// A scheduler that has run for a long time and knows `workers` warm workers.
 pub fn scheduler_with(workers: usize, more: &[(&str, &str)]) -> TestScheduler {
     let mut scheduler = Scheduler::new(Calls::default(), 0, 7, settings(more)).unwrap();
     scheduler.advance_clock(NOW);
@@ -110,7 +113,7 @@
     scheduler
 }
 
-/// A request of this class to the function of the same index.
+/// A request of this class to the function with the same index.
 pub fn request_info(class: usize) -> RequestInfo {
     RequestInfo {
         class,
@@ -122,7 +125,7 @@
     }
 }
 
-/// A function of this class that is known, with instances loaded on the first `n` workers of its order.
+/// Registers the function of this class, with instances loaded on the first `n` workers of its order.
 pub fn load_first(scheduler: &mut TestScheduler, class: usize, n: usize) {
     scheduler.register_function(&request_info(class));
     let now = scheduler.now;
@@ -135,7 +138,7 @@
     scheduler.host.0.clear();
 }
 
-/// The slot of a request that arrives now.
+/// Lets a request arrive and returns its slot.
 pub fn send_request(scheduler: &mut TestScheduler, class: usize) -> RequestSlot {
     let slot = scheduler.next_request_slot();
     scheduler.request_arrived(request_info(class));
@@ -143,13 +146,13 @@
 }
 
 /// A warm answer of this worker to a request of function 0, which has its first placement there.
-pub fn succeed(scheduler: &mut TestScheduler, worker_id: WorkerId, sent_at: Time, took: Time) {
+pub fn succeed(scheduler: &mut TestScheduler, worker_id: WorkerId, sent_at: Time, elapsed: Time) {
     let attempt = Attempt { worker_id, sent_at, ..Attempt::default() };
     let (info, outcome, note) = (request_info(0), Outcome::Ok, AttemptNote(1));
-    scheduler.attempt_succeeded(&EndedAttempt { attempt, position: 0, info, outcome, took, note });
+    scheduler.attempt_succeeded(&EndedAttempt { attempt, position: 0, info, outcome, elapsed, note });
 }
 
-/// The workers that attempts went to.
+/// The workers to which attempts were sent.
 pub fn attempted_workers(scheduler: &TestScheduler) -> Vec<WorkerId> {
     scheduler
         .host
@@ -159,7 +162,7 @@
         .collect()
 }
 
-/// The workers that health checks went to.
+/// The workers to which health checks were sent.
 pub fn checked_workers(scheduler: &TestScheduler) -> Vec<WorkerId> {
     scheduler
         .host
@@ -169,7 +172,7 @@
         .collect()
 }
 
-/// Each checked worker answers with so many requests in flight.
+/// Answers the health checks in order, with these numbers of requests in flight.
 pub fn answer_health_checks(scheduler: &mut TestScheduler, loads: &[f64]) {
     for (worker_id, load) in checked_workers(scheduler).into_iter().zip(loads) {
         scheduler.load_reported(worker_id, *load, 0.0);
@@ -177,7 +180,7 @@
     }
 }
 
-/// Load requests without queries.
+/// The number of load requests, not counting queries.
 pub fn load_request_count(scheduler: &TestScheduler) -> usize {
     scheduler.host.0.iter().filter(|c| matches!(c, Call::Load(_, _, n) if *n > 0)).count()
 }
--- a/src/choice/tests/load_checks.rs
+++ b/src/choice/tests/load_checks.rs
@@ -3,9 +3,9 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(1.0, 1.0, 0; "alike: the next of the rotation")]
-#[test_case(4.0, 1.0, 1; "clearly fuller: it moves on")]
-fn the_next_two_of_the_rotation_are_looked_at(first: f64, second: f64, position: usize) {
+#[test_case(1.0, 1.0, 0; "equal loads use the next of the rotation")]
+#[test_case(4.0, 1.0, 1; "a clearly higher load moves the rotation on")]
+fn the_next_two_of_the_rotation_are_checked(first: f64, second: f64, position: usize) {
     let mut scheduler = scheduler_with(4, &LARGE_FLEET);
     load_first(&mut scheduler, 0, 2);
     send_request(&mut scheduler, 0);
@@ -14,26 +14,28 @@
     assert_eq!(attempted_workers(&scheduler), [worker_at(&scheduler, 0, position)]);
 }
 
-// remote's incidents at size: reports came seconds late, and all gateways went by them together.
-#[test_case(2, 0; "what the report had")]
-#[test_case(9, 1; "far more than it had")]
-fn reports_that_company_contradicts_are_not_gone_by(company: u32, sure: usize) {
+// From incidents in a large deployment named "remote": reports came seconds late, and all gateways acted on
+// the same reports.
+#[test_case(2, 0; "as many as reported")]
+#[test_case(9, 1; "far more than reported")]
+fn reports_that_concurrency_contradicts_are_not_used(concurrency: u32, unchecked: usize) {
     let mut scheduler = scheduler_with(4, &LARGE_FLEET);
     load_first(&mut scheduler, 0, 2);
     for _ in 0..3 {
         let slot = send_request(&mut scheduler, 0);
         answer_health_checks(&mut scheduler, &[1.0, 1.0]);
-        scheduler.attempt_ended(slot, 0, (Outcome::Ok, 2000), true, 1 + 8 * company);
+        scheduler.attempt_ended(slot, 0, (Outcome::Ok, 2000), true, 1 + 8 * concurrency);
     }
     let before = checked_workers(&scheduler).len();
     scheduler.advance_clock(NOW + SECOND);
     send_request(&mut scheduler, 0);
-    assert_eq!(checked_workers(&scheduler).len() == before, sure == 1);
+    assert_eq!(checked_workers(&scheduler).len() == before, unchecked == 1);
 }
 
-// Silent and hanging workers: each of hundreds of gateways lost a request to them before it could judge.
+// With silent or hanging workers, each of hundreds of gateways lost a request to them before it could detect
+// them.
 #[test]
-fn a_worker_that_leaves_a_probe_unanswered_is_passed_over() {
+fn a_worker_that_does_not_answer_a_load_check_is_skipped() {
     let mut scheduler = scheduler_with(4, &LARGE_FLEET);
     load_first(&mut scheduler, 0, 2);
     send_request(&mut scheduler, 0);
@@ -45,9 +47,9 @@
     assert_eq!(attempted_workers(&scheduler), [answers]);
 }
 
-#[test_case("0.0074", 2; "that cost little")]
-#[test_case("0.08", 0; "that cost more than looking brings")]
-fn events_wait_for_probes(price: &str, count: usize) {
+#[test_case("0.0074", 2; "cheap load checks")]
+#[test_case("0.08", 0; "load checks that cost more than they gain")]
+fn requests_wait_for_cheap_load_checks(price: &str, count: usize) {
     let mut scheduler =
         scheduler_with(3, &[LARGE_FLEET[0], LARGE_FLEET[1], LARGE_FLEET[2], ("deductions.probe", price)]);
     load_first(&mut scheduler, 0, 3);
--- a/src/choice/tests/placements.rs
+++ b/src/choice/tests/placements.rs
@@ -1,11 +1,11 @@
-//! The shared order of placements, unknown functions, and workers passed over.
+//! The shared order of placements, unknown functions, and skipped workers.
 use super::help::*;
 use super::*;
 use crate::random::mix_hashes;
 use test_case::test_case;
 
 #[test]
-fn the_order_is_shared_whatever_was_learned_first() {
+fn the_order_does_not_depend_on_what_was_learned_first() {
     let (mut a, mut b) = (scheduler_with(5, &[]), scheduler_with(0, &[]));
     a.register_function(&request_info(0));
     b.register_function(&request_info(0));
@@ -16,9 +16,10 @@
     assert_eq!(order(&a), order(&b));
 }
 
-// lamphun's start: no instance was known and the rate limit of load requests was still empty.
+// At the start of the "lamphun" deployment no instance was known, and the rate limit did not allow load
+// requests yet.
 #[test]
-fn an_unknown_function_is_asked_for_and_used_where_it_stands() {
+fn an_unknown_function_is_queried_and_used_where_it_is_loaded() {
     let mut scheduler = scheduler_with(3, &[("extra.load-window-ms", "10000")]);
     send_request(&mut scheduler, 0);
     assert_eq!((scheduler.host.0.len(), load_request_count(&scheduler)), (3, 0));
@@ -27,13 +28,13 @@
     assert_eq!(attempted_workers(&scheduler), [far]);
 }
 
-#[test_case(0, true; "by a gateway of few")]
-#[test_case(1, false; "not by one of many: the next takes its place")]
-fn a_worker_without_room_is_ordered_at_again(many: usize, again: bool) {
-    let mut scheduler = scheduler_with(3, &LARGE_FLEET[..many]);
+#[test_case(0, true; "in a small fleet")]
+#[test_case(1, false; "not in a large fleet, where the next worker is used")]
+fn a_worker_without_memory_is_asked_to_load_again(large_fleet_settings: usize, again: bool) {
+    let mut scheduler = scheduler_with(3, &LARGE_FLEET[..large_fleet_settings]);
     load_first(&mut scheduler, 0, 1);
-    let home = worker_at(&scheduler, 0, 0);
-    scheduler.load_request_ended(0, home, Outcome::AtCapacity, 0);
+    let first_worker = worker_at(&scheduler, 0, 0);
+    scheduler.load_request_ended(0, first_worker, Outcome::AtCapacity, 0);
     scheduler.advance_clock(NOW + SECOND);
     (scheduler.functions[0].placements[0].instances, scheduler.functions[0].desired_instances) =
         (InstanceState::Absent, 1);
@@ -42,15 +43,15 @@
 
 #[test_case(3, 3; "a small fleet")]
 #[test_case(40, 12; "a large one")]
-fn asking_for_an_unknown_function_stops_at_the_head_of_its_order(workers: usize, asked: usize) {
+fn queries_for_an_unknown_function_are_limited_to_its_first_workers(workers: usize, asked: usize) {
     let mut scheduler = scheduler_with(workers, &[]);
     scheduler.register_function(&request_info(0));
     assert_eq!(scheduler.host.0.len(), asked);
 }
 
-// A placement for each of 1,024 workers in each of 400 functions took 34 MB of the smallest gateway's 32.
+// Placements on each of 1,024 workers for each of 400 functions took 34 MB; the smallest gateway has 32 MB.
 #[test]
-fn seats_are_bounded_and_filled_again() {
+fn placements_are_bounded_and_refilled() {
     let mut scheduler = scheduler_with(1024, &[LARGE_FLEET[0]]);
     load_first(&mut scheduler, 0, 1);
     let order = |scheduler: &TestScheduler| {
@@ -69,33 +70,33 @@
     assert_eq!(order(&scheduler), all[100..100 + MAX_PLACEMENTS]);
 }
 
-// The fleet's join day: after a release nine in ten requests that were rejected had a cold head without room as the only one
-// of the first n, and a warm worker behind it.
-#[test_case("300", 1; "among many the next of the order takes its place")]
-#[test_case("3", 0; "elsewhere the head keeps it")]
-fn a_cold_head_without_room_is_passed_over(siblings: &str, head: usize) {
+// From the fleet's "join" day: after a release, nine in ten rejected requests had a cold worker without
+// slow-start capacity as the only one of the first n, and a warm worker next in the order.
+#[test_case("300", 1; "in a large fleet the next worker is used")]
+#[test_case("3", 0; "in a small fleet the first worker stays")]
+fn a_cold_first_worker_without_capacity_is_skipped(siblings: &str, first: usize) {
     let mut scheduler = scheduler_with(3, &[("siblings", siblings), ("deductions.probe", "1")]);
     load_first(&mut scheduler, 0, 2);
     scheduler.functions[0].desired_instances = 1;
     let worker_id = worker_at(&scheduler, 0, 0);
-    // It has just started, and this gateway has no share in it.
+    // The worker has just started, and this gateway has no share of it.
     (scheduler.workers[worker_id].endpoint.started_at, scheduler.workers[worker_id].slow_start_rounding) =
         (NOW, 1.0);
-    assert_eq!(scheduler.usable_placements(0).next(), Some(head));
+    assert_eq!(scheduler.usable_placements(0).next(), Some(first));
     send_request(&mut scheduler, 0);
     assert_eq!(attempted_workers(&scheduler), [worker_at(&scheduler, 0, 1)]);
 }
 
-// An instance that is presumed costs a miss; where a request has one attempt only, that is the request.
-#[test_case("1", "0", false; "with one launch an order goes first")]
-#[test_case("1", "600000", true; "unless the ration bars it: the launch shows the function")]
-#[test_case("3", "0", true; "else the head is presumed to have it")]
-fn copies_are_presumed_where_a_miss_can_be_borne(most: &str, window: &str, presumed: bool) {
+// A wrongly presumed instance costs a miss, which fails the request if it has only one attempt.
+#[test_case("1", "0", false; "with one attempt a load request is sent first")]
+#[test_case("1", "600000", true; "unless the rate limit prevents it and the attempt shows the function")]
+#[test_case("3", "0", true; "with several attempts the first worker is presumed to have it")]
+fn instances_are_presumed_where_a_miss_can_be_retried(max_attempts: &str, window: &str, presumed: bool) {
     let scheduler = &mut scheduler_with(
         3,
         &[
             LARGE_FLEET[0],
-            ("allowed.max-attempts", most),
+            ("allowed.max-attempts", max_attempts),
             ("extra.load-window-ms", window),
             ("extra.load-share", "0.2"),
         ],
@@ -107,20 +108,20 @@
     );
 }
 
-// A year of workers that are replaced each day left each function thousands of placements to look through.
-#[test_case(0, 2; "idle ones go")]
-#[test_case(1, 3; "not while something is out there")]
-fn seats_of_workers_that_are_gone_for_good_go(in_flight: u32, left: usize) {
+// After a year of workers that were replaced each day, each function had thousands of placements to search.
+#[test_case(0, 2; "idle ones are dropped")]
+#[test_case(1, 3; "not while an attempt is in flight")]
+fn placements_on_removed_workers_are_dropped(in_flight: u32, left: usize) {
     let mut scheduler = scheduler_with(3, &[]);
     load_first(&mut scheduler, 0, 0);
     scheduler.functions[0].placements.iter_mut().find(|s| s.worker_id == 1).unwrap().in_flight = in_flight;
-    scheduler.functions[0].last_request_at = NOW; // or all of it would be forgotten
+    scheduler.functions[0].last_request_at = NOW; // otherwise the function would be forgotten
     scheduler
         .update_endpoints(&[(1, Endpoint { state: EndpointState::Removed, ..endpoint_entry(1).1 })], false);
     scheduler.advance_clock(NOW + 2 * SECOND);
     scheduler.timer_fired(0);
     assert_eq!(scheduler.functions[0].placements.len(), left);
-    // Back, it has its place in the order again, and is empty.
+    // When the worker is listed again, it has its position in the order, and no instances.
     scheduler.update_endpoints(&[endpoint_entry(1)], false);
     let mut all = scheduler_with(3, &[]);
     load_first(&mut all, 0, 0);
--- a/src/choice/tests/ramp.rs
+++ b/src/choice/tests/ramp.rs
@@ -1,5 +1,6 @@
-//! The ramp of cold workers over a whole fleet: the module as shipped at each of many gateways, before workers of which half start
-//! anew at one moment. In no window may all gateways together send one of them more than what it can take and the users' chance.
+//! Slow start across a whole fleet: many gateways run the scheduler as shipped, and half of the workers
+//! restart at one moment. In no window may all gateways together send a cold worker more than it can take,
+//! plus an allowance for chance as the users have it.
 use super::help::*;
 use super::*;
 use std::cmp::Reverse;
@@ -8,16 +9,16 @@
 
 const WORKERS: usize = 12;
 const CORES: usize = 4;
-/// Warm traffic before the start, and how long the ramp is looked at.
-const WARM: Time = 25_000;
-const LOOKED: Time = 45_000;
+/// Duration of warm traffic before the restart, and duration of the observation after it.
+const WARM_TRAFFIC: Time = 25_000;
+const OBSERVATION: Time = 45_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Planted {
+enum PlantedFault {
     Nothing,
     /// Every gateway rounds its share up.
     AllRoundUp,
-    /// Cold workers are taken for warm.
+    /// Cold workers are treated as warm.
     Warm,
 }
 
@@ -33,7 +34,8 @@
 
 struct Fleet {
     settings: Settings,
-    /// A request's work at a warm worker; all are alike, as the rule counts requests of mean work.
+    /// Work of a request at a warm worker. It is the same for all requests, because the rule counts requests
+    /// of mean work.
     run: Time,
     now: Time,
     random: RandomGenerator,
@@ -42,10 +44,10 @@
     slow_start_at: Time,
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
     sequence: u64,
-    /// By worker: when each core is free again, and the attempts that came.
+    /// By worker: when each core is free again, and the times of the attempts that arrived.
     core_free_at: Vec<Vec<Time>>,
     attempts: Vec<Vec<Time>>,
-    planted: Planted,
+    planted: PlantedFault,
 }
 
 impl Fleet {
@@ -54,28 +56,30 @@
         self.queue.push(Reverse((at, self.sequence, event)));
     }
 
-    /// How warm a worker is, as the settings tell it.
+    /// The fraction by which a worker is warm according to the settings.
     fn warm_share(&self, worker_id: usize, at: Time) -> f64 {
         if worker_id < WORKERS || at < self.slow_start_at {
             return 1.0;
         }
-        let (cold, from) = (self.settings.duration("rules.cold-ms"), self.settings.number("rules.cold-from"));
-        (from + (1.0 - from) * (at - self.slow_start_at) as f64 / cold as f64).min(1.0)
+        let (cold_duration, initial_share) =
+            (self.settings.duration("rules.cold-ms"), self.settings.number("rules.cold-from"));
+        (initial_share + (1.0 - initial_share) * (at - self.slow_start_at) as f64 / cold_duration as f64)
+            .min(1.0)
     }
 
-    /// Half of the workers were there all the time, the others have one in their place that is new.
+    /// Half of the workers stay throughout. The other half are replaced by new ones.
     fn endpoints(&self) -> Vec<(usize, Endpoint)> {
-        let anew = |worker_id: usize| {
+        let entry = |worker_id: usize| {
             if self.now >= self.slow_start_at && worker_id % 2 == 1 {
-                let (_, l) = endpoint_entry(worker_id + WORKERS);
+                let (_, endpoint) = endpoint_entry(worker_id + WORKERS);
                 return (
                     worker_id + WORKERS,
-                    Endpoint { started_at: self.slow_start_at, rating: CORES as f64, ..l },
+                    Endpoint { started_at: self.slow_start_at, rating: CORES as f64, ..endpoint },
                 );
             }
             (worker_id, Endpoint { rating: CORES as f64, ..endpoint_entry(worker_id).1 })
         };
-        (0..WORKERS).map(anew).collect()
+        (0..WORKERS).map(entry).collect()
     }
 
     fn announce_endpoints(&mut self, gateway_id: usize) {
@@ -83,20 +87,21 @@
         let gateway = &mut self.gateways[gateway_id];
         gateway.advance_clock(self.now);
         gateway.update_endpoints(&list, true);
-        if self.planted == Planted::AllRoundUp {
+        if self.planted == PlantedFault::AllRoundUp {
             (0..gateway.workers.len()).for_each(|w| gateway.workers[w].slow_start_rounding = 0.0);
         }
         self.carry_out(gateway_id);
     }
 
-    /// What the gateway called for: attempts come to their workers at once and end when a core has done them.
+    /// Carries out the calls of the gateway: attempts reach their workers at once and end when a core has
+    /// executed them.
     fn carry_out(&mut self, gateway_id: usize) {
         for call in std::mem::take(&mut self.gateways[gateway_id].host.0) {
             let Call::Attempt(slot, worker_id) = call else { continue };
             let attempt = self.gateways[gateway_id].requests[slot].attempt_count - 1;
             let took = (self.run as f64 / self.warm_share(worker_id, self.now)) as Time;
             self.attempts[worker_id].push(self.now);
-            let core = self.core_free_at[worker_id].iter_mut().min().expect("it has cores");
+            let core = self.core_free_at[worker_id].iter_mut().min().expect("a worker has cores");
             *core = self.now.max(*core) + took;
             let (end, incarnation) = (*core, self.incarnations[gateway_id]);
             self.schedule(end, Event::AttemptEnd(gateway_id, incarnation, slot, attempt));
@@ -107,7 +112,7 @@
         let wait = -gap * (f64::from(self.random.below(9_999) + 1) / 10_000.0).ln();
         self.schedule(self.now + wait as Time + 1, Event::Arrival);
         let drawn = f64::from(self.random.below(1 << 20)) / f64::from(1 << 20)
-            * weights.last().expect("there are some");
+            * weights.last().expect("there are gateways");
         let gateway_id = weights.partition_point(|w| *w <= drawn);
         let gateway = &mut self.gateways[gateway_id];
         gateway.advance_clock(self.now);
@@ -133,23 +138,24 @@
         }
     }
 
-    /// See `ramp`.
+    /// See `ramp` for the return values.
     fn worst_window(&self) -> (f64, usize) {
         let window = self.settings.duration("rules.overload-for-ms");
-        let (mut worst, mut got) = (f64::MIN, 0);
+        let (mut worst, mut received) = (f64::MIN, 0);
         for (worker_id, attempts) in self.attempts.iter().enumerate().skip(WORKERS) {
-            got += attempts.len();
+            received += attempts.len();
             for (i, at) in attempts.iter().enumerate() {
                 let sent = attempts[..=i].iter().filter(|t| **t + window > *at).count() as f64;
-                let can = CORES as f64 * window as f64 / self.run as f64 * self.warm_share(worker_id, *at);
-                let may = self.settings.number("rules.tip-multiple") * can;
-                worst = worst.max(sent - (may + 2.0 * may.sqrt() + 2.0));
+                let capacity =
+                    CORES as f64 * window as f64 / self.run as f64 * self.warm_share(worker_id, *at);
+                let allowance = self.settings.number("rules.tip-multiple") * capacity;
+                worst = worst.max(sent - (allowance + 2.0 * allowance.sqrt() + 2.0));
             }
         }
-        (worst, got)
+        (worst, received)
     }
 
-    fn happen(&mut self, event: Event, gap: f64, weights: &[f64]) {
+    fn handle_event(&mut self, event: Event, gap: f64, weights: &[f64]) {
         match event {
             Event::Arrival => self.arrive(gap, weights),
             Event::AttemptEnd(gateway_id, incarnation, slot, attempt)
@@ -192,16 +198,17 @@
     }
 }
 
-/// By how many attempts the worst window of a cold worker is over what it may get, and how many attempts cold ones got.
+/// Returns by how many attempts the worst window of a cold worker exceeds its allowance, and how many
+/// attempts cold workers received.
 fn ramp(
     gateways: usize,
     uneven: bool,
     (load, run): (f64, Time),
     seed: u64,
-    planted: Planted,
+    planted: PlantedFault,
 ) -> (f64, usize) {
     let count = gateways.to_string();
-    let cold = if planted == Planted::Warm { "0" } else { "10000" };
+    let cold = if planted == PlantedFault::Warm { "0" } else { "10000" };
     let settings =
         settings(&[("siblings", count.as_str()), ("rules.cold-ms", cold), ("extra.if-cold", "load")]);
     let mut true_settings = settings.clone();
@@ -213,7 +220,7 @@
         random: RandomGenerator::new(seed),
         gateways: (0..gateways).map(gateway).collect(),
         incarnations: vec![0; gateways],
-        slow_start_at: NOW + WARM,
+        slow_start_at: NOW + WARM_TRAFFIC,
         queue: BinaryHeap::new(),
         sequence: 0,
         core_free_at: vec![vec![0; CORES]; 2 * WORKERS],
@@ -223,7 +230,7 @@
         run,
     };
     (0..gateways).for_each(|gateway_id| fleet.announce_endpoints(gateway_id));
-    // Requests a second: so much of what all workers do when warm.
+    // Requests per second, as a fraction of the capacity of all workers when warm.
     let rate = load * (WORKERS * CORES) as f64 * SECOND as f64 / run as f64;
     let mut sum = 0.0;
     let weight = |i: usize| if uneven { 1.0 / (1.0 + i as f64).powf(0.8) } else { 1.0 };
@@ -243,34 +250,35 @@
         fleet.schedule(at, event);
     }
     while let Some(Reverse((at, _, event))) = fleet.queue.pop() {
-        if at > started + LOOKED {
+        if at > started + OBSERVATION {
             break;
         }
         fleet.now = at;
-        fleet.happen(event, SECOND as f64 / rate, &weights);
+        fleet.handle_event(event, SECOND as f64 / rate, &weights);
     }
     fleet.settings = true_settings;
     fleet.worst_window()
 }
 
-// Load of the warm fleet, and a request's work: with half a second of it a cold worker may get four at first.
+// Each pair contains the load of the warm fleet and a request's work. With work of half a second, a cold
+// worker may get four requests at first.
 #[test_matrix([2, 20, 30, 300, 1_000], [false, true], [(0.6, 1_000), (1.1, 1_000), (0.9, 5_000)])]
-fn cold_workers_get_what_they_can_take_from_all_together(gateways: usize, uneven: bool, load: (f64, Time)) {
+fn all_gateways_together_do_not_overload_cold_workers(gateways: usize, uneven: bool, load: (f64, Time)) {
     for seed in 1..=2 {
-        let (worst, got) = ramp(gateways, uneven, load, seed, Planted::Nothing);
-        println!("{gateways} {uneven} {load:?} {seed}: {worst:.1} {got}");
+        let (worst, received) = ramp(gateways, uneven, load, seed, PlantedFault::Nothing);
+        println!("{gateways} {uneven} {load:?} {seed}: {worst:.1} {received}");
         assert!(worst <= 0.0, "seed {seed}: {worst} over");
-        assert!(got > 0, "seed {seed}: none was sent any");
+        assert!(received > 0, "seed {seed}: no cold worker received an attempt");
     }
 }
 
-#[test_case(20, Planted::Warm)]
-#[test_case(30, Planted::Warm)]
-#[test_case(300, Planted::Warm)]
-#[test_case(1_000, Planted::Warm)]
-#[test_case(300, Planted::AllRoundUp)]
-#[test_case(1_000, Planted::AllRoundUp)]
-fn a_planted_fault_of_the_ramp_is_found(gateways: usize, planted: Planted) {
+#[test_case(20, PlantedFault::Warm)]
+#[test_case(30, PlantedFault::Warm)]
+#[test_case(300, PlantedFault::Warm)]
+#[test_case(1_000, PlantedFault::Warm)]
+#[test_case(300, PlantedFault::AllRoundUp)]
+#[test_case(1_000, PlantedFault::AllRoundUp)]
+fn a_planted_slow_start_fault_is_detected(gateways: usize, planted: PlantedFault) {
     let found = (1..=3).filter(|seed| ramp(gateways, true, (1.1, 1_000), *seed, planted).0 > 0.0).count();
     assert!(found > 0);
 }
--- a/src/choice/tests/requests.rs
+++ b/src/choice/tests/requests.rs
@@ -3,32 +3,32 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(0, true; "redeliverable is deferred")]
-#[test_case(2, false; "at most once may have run")]
-fn an_event_is_answered_before_its_own_time_of_giving_up(class: usize, deferred: bool) {
+#[test_case(0, true; "idempotent is rejected")]
+#[test_case(2, false; "non idempotent may have been executed and fails")]
+fn a_request_is_answered_before_its_deadline(class: usize, rejected: bool) {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, class, 1);
     let slot = send_request(&mut scheduler, class);
     scheduler.advance_clock(NOW + 20_000 - MAX_SWEEP_INTERVAL - 2 * MS);
     scheduler.timer_fired(0);
     assert!(scheduler.host.0.contains(&Call::Cancel(slot, 0)));
-    assert_eq!(matches!(scheduler.host.0[1], Call::Reject(..)), deferred);
+    assert_eq!(matches!(scheduler.host.0[1], Call::Reject(..)), rejected);
 }
 
-// Tries that came with a few milliseconds left were never answered.
+// Requests that arrived a few milliseconds before their deadline were never answered.
 #[test_case(119, true; "before the next sweep")]
-#[test_case(499, true; "before half its usual run")]
+#[test_case(499, true; "before half of the expected run")]
 #[test_case(501, false; "in time")]
-fn a_try_too_late_to_end_is_answered_at_once(left: Time, given_up: bool) {
+fn a_request_that_arrives_too_late_is_rejected_at_once(left: Time, rejected: bool) {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, 0, 1);
     scheduler.request_arrived(RequestInfo { deadline: NOW + left, ..request_info(0) });
-    assert_eq!(attempted_workers(&scheduler).is_empty(), given_up);
+    assert_eq!(attempted_workers(&scheduler).is_empty(), rejected);
 }
 
-// Clients left at half the latency objective, unannounced.
+// Clients disconnected without notice at half the latency objective.
 #[test]
-fn clients_that_leave_early_shorten_what_is_aimed_at() {
+fn clients_that_leave_early_lower_the_observed_objective() {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, 0, 1);
     let slot = send_request(&mut scheduler, 0);
@@ -41,11 +41,12 @@
     assert_eq!(scheduler.host.0.last(), Some(&Call::Cancel(slot, 0)));
 }
 
-// A day of bad clients on sockets: hundreds withdrawn at once made every answer look late, and a quarter was rejected.
+// On a day of misbehaving clients on real sockets, hundreds of requests cancelled at once made every answer
+// look late, and a quarter of the requests were rejected.
 #[test_case(0, 10_000.0; "at once")]
 #[test_case(999, 10_000.0; "before the usual latency")]
 #[test_case(1000, 2000.0; "as late as an answer")]
-fn who_leaves_before_any_answer_can_come_teaches_no_target_time(age: Time, most: f64) {
+fn only_clients_that_wait_the_usual_latency_lower_the_objective(age: Time, most: f64) {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, 0, 1);
     let slots: Vec<usize> = (0..200).map(|_| send_request(&mut scheduler, 0)).collect();
@@ -61,9 +62,9 @@
     assert_eq!(scheduler.classes[0].observed_objective == 10_000.0, most == 10_000.0);
 }
 
-#[test_case(1250, true; "an eighth of the target time and more")]
+#[test_case(1250, true; "more than an eighth of the objective")]
 #[test_case(1000, false; "less")]
-fn without_room_an_event_is_given_up_early(waited: Time, given_up: bool) {
+fn without_capacity_a_request_is_rejected_early(waited: Time, rejected: bool) {
     let mut scheduler = scheduler_with(1, &[]);
     load_first(&mut scheduler, 0, 1);
     (scheduler.workers[0].in_flight, scheduler.workers[0].in_flight_limit) = (40, 8.0);
@@ -72,17 +73,17 @@
     scheduler.retry_waiting(|_| true);
     assert_eq!(
         scheduler.host.0.iter().any(|c| matches!(c, Call::Reject(at, wait) if *at == slot && *wait <= 1000)),
-        given_up
+        rejected
     );
 }
 
-// Loads of a minute and clients that wait for two seconds: requests were held until their clients left.
-#[test_case(600_000, EndpointState::Active, 0, true; "a load that comes too late is no hope")]
-#[test_case(10_000, EndpointState::Active, 0, false; "one that comes in time is")]
-#[test_case(10_000, EndpointState::Removed, 1300, true; "not at a worker that left")]
-#[test_case(2_000, EndpointState::Active, 6_100, true; "nor when it is overdue three times")]
-#[test_case(0, EndpointState::Active, 1300, false; "of unknown length it may come")]
-fn an_event_waits_for_a_load_that_can_come(load: Time, state: EndpointState, later: Time, given_up: bool) {
+// With loads of a minute and clients that wait two seconds, requests were held until their clients left.
+#[test_case(600_000, EndpointState::Active, 0, true; "a load that ends too late")]
+#[test_case(10_000, EndpointState::Active, 0, false; "a load that ends in time")]
+#[test_case(10_000, EndpointState::Removed, 1300, true; "a load at a removed worker")]
+#[test_case(2_000, EndpointState::Active, 6_100, true; "a load that took three times the usual")]
+#[test_case(0, EndpointState::Active, 1300, false; "a load of unknown duration")]
+fn a_request_waits_only_for_a_load_in_time(load: Time, state: EndpointState, later: Time, is_rejected: bool) {
     let scheduler = &mut scheduler_with(1, &[]);
     scheduler.register_function(&request_info(0));
     let placement = &mut scheduler.functions[0].placements[0];
@@ -95,11 +96,11 @@
     scheduler.retry_waiting(|_| true);
     let answer =
         scheduler.host.0.iter().find(|c| matches!(c, Call::Reject(rejected, _) if *rejected == slot));
-    assert_eq!(answer.is_some(), given_up, "{:?}", scheduler.host.0);
+    assert_eq!(answer.is_some(), is_rejected, "{:?}", scheduler.host.0);
 }
 
 #[test]
-fn a_deferral_tells_when_the_load_is_due() {
+fn a_retry_after_covers_the_load_time() {
     let scheduler = &mut scheduler_with(1, &[("allowed.max-retry-after-ms", "600000")]);
     scheduler.register_function(&request_info(0));
     let placement = &mut scheduler.functions[0].placements[0];
@@ -113,10 +114,11 @@
     );
 }
 
-// Hardening: with the rate limit spent and no load request out a request lay here until the last sweep before its client gave up.
-#[test_case(false, true; "no copy and no order out: no hope")]
-#[test_case(true, false; "a load is under way: it may wait for that")]
-fn what_has_no_hope_is_not_kept_for_its_deadline(loading: bool, given_up: bool) {
+// With the rate limit exhausted and no load request pending, a request waited until the last sweep before its
+// client gave up.
+#[test_case(false, true; "no instance and no load request")]
+#[test_case(true, false; "a load is under way")]
+fn a_request_without_a_load_under_way_is_rejected_early(loading: bool, is_rejected: bool) {
     let mut scheduler = scheduler_with(2, &[("extra.load-window-ms", "10000")]);
     load_first(&mut scheduler, 0, 1);
     scheduler.functions[0].placements[0].instances =
@@ -131,19 +133,20 @@
         .0
         .iter()
         .any(|c| matches!(c, Call::Reject(at, retry_after) if *at == slot && *retry_after > 0));
-    assert_eq!(rejected, given_up);
+    assert_eq!(rejected, is_rejected);
 }
 
-#[test_case("1", "500"; "of the shortest target time")]
-#[test_case("1000", "0.2"; "with the shortest longest time")]
-fn a_deferral_that_may_tell_a_time_tells_one(target: &str, longest: &str) {
-    let more = [("classes.0.aim-ms", target), ("allowed.max-retry-after-ms", longest)];
+#[test_case("1", "500"; "with the shortest objective")]
+#[test_case("1000", "0.2"; "with the smallest maximum")]
+fn a_retry_after_is_never_zero_where_allowed(objective: &str, max_retry_after: &str) {
+    let more = [("classes.0.aim-ms", objective), ("allowed.max-retry-after-ms", max_retry_after)];
     for seed in 0..20 {
         let mut scheduler = Scheduler::new(Calls::default(), 0, seed, settings(&more)).unwrap();
         let slot = scheduler.next_request_slot();
         scheduler.request_arrived(RequestInfo { deadline: 1, ..request_info(0) });
-        assert!(
-            matches!(scheduler.host.0.last(), Some(Call::Reject(at, retry_after)) if *at == slot && *retry_after > 0)
-        );
+        assert!(matches!(
+            scheduler.host.0.last(),
+            Some(Call::Reject(at, retry_after)) if *at == slot && *retry_after > 0
+        ));
     }
 }
--- a/src/choice/tests/scaling.rs
+++ b/src/choice/tests/scaling.rs
@@ -1,12 +1,12 @@
-//! Counts of instances.
+//! The number of instances of a function.
 use super::help::*;
 use super::*;
 use test_case::test_case;
 
-#[test_case(0.0, 1, 2.0, 10.0; "starts at a tenth of the target time")]
+#[test_case(0.0, 1, 2.0, 10.0; "starts at a tenth of the objective")]
 #[test_case(2500.0, 4, 8.0, 16.0; "a quarter second on four lanes")]
-#[test_case(9000.0, 2, 4.0, 4.0; "at most half the target time")]
-fn bounds_follow_the_page(run: f64, lanes: u32, low: f64, up: f64) {
+#[test_case(9000.0, 2, 4.0, 4.0; "at most half the objective")]
+fn rate_bounds_follow_the_design(run: f64, lanes: u32, low: f64, up: f64) {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, 0, 1);
     (scheduler.functions[0].warm_latency, scheduler.functions[0].lanes) = (run, lanes);
@@ -14,22 +14,22 @@
     assert_eq!((least, most), (low, up));
 }
 
-// A floor of 0, and an upper bound under the lower one: one instance counted for any rate.
-#[test_case("5000", 25_000.0, 0.8, 0.8; "a run of half the target time")]
+// With a floor of 0 and an upper bound below the lower one, one instance counted for any rate.
+#[test_case("5000", 25_000.0, 0.8, 0.8; "a run of half the objective")]
 #[test_case("10000", 20_000.0, 0.25, 1.0; "a fifth")]
-#[test_case("600000", 15_000.0, 2.0 / 598.5, 2.0 / 1.5; "short against minutes")]
-fn where_the_whole_numbers_cross_bounds_are_unrounded(target: &str, run: f64, low: f64, up: f64) {
-    let mut scheduler = scheduler_with(2, &[("classes.0.aim-ms", target)]);
+#[test_case("600000", 15_000.0, 2.0 / 598.5, 2.0 / 1.5; "short compared to minutes")]
+fn rate_bounds_that_cross_are_not_rounded(objective: &str, run: f64, low: f64, up: f64) {
+    let mut scheduler = scheduler_with(2, &[("classes.0.aim-ms", objective)]);
     load_first(&mut scheduler, 0, 1);
     scheduler.functions[0].warm_latency = run;
     let InstanceRates { min: least, max: most, .. } = scheduler.instance_rates(0);
     assert!((least - low).abs() < 1e-9 && (most - up).abs() < 1e-9, "{least} {most}");
 }
 
-// One request in two seconds counted as R bought an instance for each two seconds of its run.
-#[test_case(1, 1; "one event in hand")]
-#[test_case(4, 2; "four on two lanes")]
-fn where_runs_are_long_the_count_goes_by_events_in_hand(requests: u32, n: usize) {
+// One request in two seconds, counted as R, added an instance for each two seconds of its run.
+#[test_case(1, 1; "one open request")]
+#[test_case(4, 2; "four open requests on two lanes")]
+fn with_long_runs_the_count_follows_open_requests(requests: u32, n: usize) {
     let scheduler = &mut scheduler_with(20, &[("classes.0.aim-ms", "600000")]);
     load_first(scheduler, 0, 1);
     (scheduler.functions[0].warm_latency, scheduler.functions[0].open_requests) = (600_000.0, requests);
@@ -38,12 +38,13 @@
     assert_eq!(scheduler.functions[0].desired_instances, n);
 }
 
-// A quarter second on two lanes: 4 to 8 a second for each instance, the band of n instances ends at 4.8 n.
-#[test_case(2, 34, false => 3; "above Rmax grows for the excess")]
+// Runs of a quarter second on two lanes: 4 to 8 requests per second for each instance. The band of n
+// instances ends at 4.8 n.
+#[test_case(2, 34, false => 3; "above Rmax grows by the excess")]
 #[test_case(2, 20, true => 2; "inside the band stays")]
-#[test_case(3, 20, true => 2; "below the band gives up one at a check")]
-#[test_case(3, 20, false => 3; "gives up at checks only")]
-#[test_case(1, 1, true => 1; "never the last while events come")]
+#[test_case(3, 20, true => 2; "below the band releases one per check")]
+#[test_case(3, 20, false => 3; "releases at checks only")]
+#[test_case(1, 1, true => 1; "never the last while requests arrive")]
 fn the_count_follows_the_band(n: usize, requests: u32, check: bool) -> usize {
     let mut scheduler = scheduler_with(4, &[]);
     load_first(&mut scheduler, 0, n);
@@ -56,7 +57,7 @@
 
 #[test_case(7999, 1; "within the keep-alive")]
 #[test_case(8001, 0; "after it")]
-fn the_last_copy_lapses_by_the_keep_alive(ms: Time, left: usize) {
+fn the_last_instance_is_released_after_the_keep_alive(ms: Time, left: usize) {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, 0, 1);
     scheduler.functions[0].last_request_at = NOW;
@@ -66,18 +67,18 @@
 }
 
 #[test_case(1, 1; "its lanes are half in use")]
-#[test_case(9, 9; "far more")]
-fn company_at_the_copies_stands_for_what_siblings_send(company: u32, n: usize) {
+#[test_case(9, 9; "far more requests than lanes")]
+fn concurrency_accounts_for_requests_of_other_gateways(concurrency: u32, n: usize) {
     let mut scheduler = scheduler_with(8, &[("siblings", "300")]);
     load_first(&mut scheduler, 0, 1);
     let slot = send_request(&mut scheduler, 0);
-    scheduler.attempt_ended(slot, 0, (Outcome::Ok, 2000), true, 1 + 8 * 2 * company);
+    scheduler.attempt_ended(slot, 0, (Outcome::Ok, 2000), true, 1 + 8 * 2 * concurrency);
     scheduler.scale(0, false);
     assert_eq!(scheduler.functions[0].desired_instances, n);
 }
 
 #[test]
-fn growth_by_company_does_not_feed_on_itself() {
+fn growth_by_concurrency_does_not_feed_back() {
     let mut scheduler = scheduler_with(8, &[("siblings", "300")]);
     load_first(&mut scheduler, 0, 1);
     scheduler.functions[0].warm_latency = 2000.0;
@@ -87,20 +88,20 @@
 }
 
 #[test_case(0.0, 3; "full workers add an instance")]
-#[test_case(0.5, 2; "not where copies are often missed")]
-fn full_workers_buy_copies_while_memory_lasts(missed: f64, n: usize) {
+#[test_case(0.5, 2; "not while many attempts miss")]
+fn full_workers_add_instances_while_memory_lasts(miss_ratio: f64, n: usize) {
     let mut scheduler = scheduler_with(4, &LARGE_FLEET);
     load_first(&mut scheduler, 0, 2);
-    scheduler.miss_ratio = missed;
+    scheduler.miss_ratio = miss_ratio;
     scheduler.functions[0].placements[2..].iter_mut().for_each(|s| s.instances = InstanceState::Absent);
     send_request(&mut scheduler, 0);
     answer_health_checks(&mut scheduler, &[6.0, 6.0]);
     assert_eq!(scheduler.functions[0].desired_instances, n);
 }
 
-// One function and hundreds of workers: 128 placements were all that it could use.
+// With one function and hundreds of workers, the function could only use 128 placements.
 #[test]
-fn a_function_that_needs_more_of_the_fleet_gets_seats() {
+fn a_function_that_needs_more_workers_gets_placements() {
     let scheduler = &mut scheduler_with(400, &[]);
     load_first(scheduler, 0, 1);
     scheduler.functions[0].warm_latency = 5_000.0;
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn the_shortest_target_time_is_no_panic() {
+fn the_shortest_objective_does_not_panic() {
     let scheduler = &mut scheduler_with(2, &[("classes.0.aim-ms", "0.1")]);
     load_first(scheduler, 0, 1);
     assert!(scheduler.instance_rates(0).max > 0.0);
--- a/src/choice/tests/shapes/model.rs
+++ b/src/choice/tests/shapes/model.rs
@@ -1,8 +1,8 @@
-//! What the simulation knows of clients, gateways and workers.
+//! The simulation's model of clients, gateways and workers.
 use super::super::help::*;
 use super::super::*;
 
-/// An attempt as it was sent, how it ends, and whether that is still to come.
+/// An attempt that was sent, its outcome, and whether its end is still to come.
 #[derive(Clone, Copy)]
 pub(super) struct SentAttempt {
     pub(super) worker_id: WorkerId,
@@ -11,22 +11,22 @@
     pub(super) outstanding: bool,
 }
 
-/// What the client hears last.
+/// The final outcome of a request for its client.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Response {
     Completed,
     Rejected,
     Failed,
-    /// Nothing: it has left.
+    /// No response, because the client has left.
     Abandoned,
 }
 
-/// Whether a worker that ends an attempt so has certainly not executed it.
+/// Whether this outcome proves that the worker has not executed the attempt.
 pub(super) fn never_executed(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::AtCapacity | Outcome::ConnectFailed | Outcome::Miss | Outcome::Discarded)
 }
 
-/// A request as its client has it.
+/// A request from its client's point of view.
 pub(super) struct ClientRequest {
     pub(super) slot: usize,
     pub(super) function_id: usize,
@@ -34,7 +34,7 @@
     pub(super) deadline: Time,
     pub(super) attempts: Vec<SentAttempt>,
     pub(super) response: Option<Response>,
-    /// Since when nothing of it is out.
+    /// Since when it has no attempt in flight.
     pub(super) idle_since: Time,
 }
 
@@ -43,26 +43,26 @@
     pub(super) scheduler: TestScheduler,
     pub(super) incarnation: u32,
     pub(super) requests: Vec<ClientRequest>,
-    /// State and start of each worker as its endpoint list has them.
+    /// State and start time of each worker in the gateway's endpoint list.
     pub(super) endpoints: Vec<(EndpointState, Time)>,
-    /// What counts for the rate limit of load requests.
+    /// Times of the load requests and arrivals that count for the rate limit.
     pub(super) load_requests: Vec<Time>,
     pub(super) arrivals: Vec<Time>,
     pub(super) pending_loads: Vec<(usize, usize)>,
-    /// When its next sweep comes; a later one that was planned is passed over.
+    /// Time of the next sweep. Sweeps scheduled for other times are ignored.
     pub(super) next_sweep: Time,
 }
 
-/// A worker.
+/// A simulated worker.
 #[derive(Clone, Default)]
 pub(super) struct SimulatedWorker {
     pub(super) cores: f64,
     pub(super) in_flight: u32,
-    /// By function: when its instance is loaded, and until when it stays.
+    /// By function: when its instance is loaded, and until when it stays loaded.
     pub(super) instances: Vec<(Time, Time)>,
     pub(super) state: EndpointState,
     pub(super) started_at: Time,
     pub(super) silent_until: Time,
-    /// Work that reached it from gateways that knew of its start.
+    /// Work that it received from gateways that knew of its start.
     pub(super) slow_start_work: Vec<(Time, f64)>,
 }
--- a/src/choice/tests/shapes/simulation.rs
+++ b/src/choice/tests/shapes/simulation.rs
@@ -1,4 +1,4 @@
-//! Gateways before modelled workers, event by event.
+//! Event-driven simulation of gateways with modelled workers.
 use super::super::help::*;
 use super::super::*;
 use super::model::*;
@@ -28,11 +28,11 @@
     pub(super) sequence: u64,
     pub(super) gateways: Vec<GatewayRun>,
     pub(super) workers: Vec<SimulatedWorker>,
-    /// Completed within the latency objective, later, rejected, failed, left.
+    /// Requests completed within the latency objective, completed later, rejected, failed, and abandoned.
     pub(super) responses: [u32; 5],
-    pub(super) most_instances: usize,
-    pub(super) most_in_hand: usize,
-    pub(super) held_for_nothing: u32,
+    pub(super) max_instances: usize,
+    pub(super) max_open_requests: usize,
+    pub(super) waited_in_vain: u32,
 }
 
 impl Simulation {
@@ -52,16 +52,16 @@
             gateways: Vec::new(),
             workers,
             responses: [0; 5],
-            most_instances: 0,
-            most_in_hand: 0,
-            held_for_nothing: 0,
+            max_instances: 0,
+            max_open_requests: 0,
+            waited_in_vain: 0,
             shape,
         };
-        // Where nobody requests loads, a third of the workers hold each function for good.
-        let given = simulation.shape.settings.is("extra.orders", "false");
+        // Where load requests are not allowed, a third of the workers have each function loaded permanently.
+        let is_preloaded = simulation.shape.settings.is("extra.orders", "false");
         for (worker_id, worker) in simulation.workers.iter_mut().enumerate() {
             let instance = |function_id: usize| {
-                if given && (worker_id + function_id).is_multiple_of(3) {
+                if is_preloaded && (worker_id + function_id).is_multiple_of(3) {
                     (0, Time::MAX / 2)
                 } else {
                     (Time::MAX, 0)
@@ -73,7 +73,7 @@
             simulation.start_gateway(gateway_id, 0);
         }
         simulation.schedule(0, Event::Arrival);
-        if !simulation.shape.calm {
+        if !simulation.shape.without_faults {
             (1..=6).for_each(|i| simulation.schedule(simulation.shape.duration * i / 8, Event::Fault));
         }
         simulation
@@ -97,12 +97,14 @@
         let seed = self.shape.seed * 10 + gateway_id as u64 + u64::from(incarnation) * 1000;
         let mut settings = self.shape.settings.clone();
         match self.shape.planted_fault {
-            Some("bare") => drop(settings.insert("extra.orders".to_string(), "false".to_string())),
-            Some("warm") => drop(settings.remove("rules.cold-ms")),
-            Some("loose") => {
+            Some("no_load_requests") => {
+                drop(settings.insert("extra.orders".to_string(), "false".to_string()))
+            }
+            Some("no_slow_start") => drop(settings.remove("rules.cold-ms")),
+            Some("retry_non_idempotent") => {
                 drop(settings.insert("classes.2.semantics".to_string(), "read_like".to_string()))
             }
-            Some("rich") => {
+            Some("triple_load_share") => {
                 let share = 3.0 * settings.number("extra.load-share");
                 settings.insert("extra.load-share".to_string(), share.to_string());
             }
@@ -142,7 +144,7 @@
         self.shape.settings.number(key)
     }
 
-    /// What an attempt that reaches a worker comes to: how it ends and when.
+    /// Determines the outcome of an attempt that reaches a worker, and when it ends.
     pub(super) fn attempt_arrives(
         &mut self,
         gateway_id: usize,
@@ -181,7 +183,7 @@
         if end >= deadline {
             return (Outcome::TimedOut, deadline + 1);
         }
-        if !self.shape.calm && self.random.below(40) == 0 {
+        if !self.shape.without_faults && self.random.below(40) == 0 {
             return (
                 if self.random.below(2) == 0 { Outcome::Reset } else { Outcome::Error },
                 now + work as Time / 2,
@@ -190,7 +192,7 @@
         (Outcome::Ok, end)
     }
 
-    /// Carries out what the gateway called for.
+    /// Carries out the gateway's calls.
     pub(super) fn carry_out(&mut self, gateway_id: usize) {
         let planted_fault = self.shape.planted_fault;
         while !self.gateways[gateway_id].scheduler.host.0.is_empty() {
@@ -202,7 +204,7 @@
                         let id =
                             self.gateways[gateway_id].requests.iter().rposition(|a| a.slot == slot).unwrap();
                         let out = &mut self.gateways[gateway_id].requests[id].attempts[attempt];
-                        assert!(out.outstanding, "a launch that is not out was called off");
+                        assert!(out.outstanding, "an attempt that is not in flight was cancelled");
                         out.outcome = Outcome::Cancelled;
                         self.schedule(now + 1, Event::AttemptEnd(gateway_id, incarnation, id, attempt));
                     }
@@ -211,10 +213,10 @@
                             && self.shape.settings.text("allowed.max-retry-after-ms") != "0";
                         assert!(
                             !allowed || retry_after > 0,
-                            "a deferral without a time: {}",
+                            "a rejection without a Retry-After: {}",
                             self.shape.describe()
                         );
-                        if planted_fault != Some("silent") {
+                        if planted_fault != Some("drop_rejections") {
                             self.respond(gateway_id, slot, Response::Rejected);
                         }
                     }
@@ -241,7 +243,7 @@
         let (now, some) = (self.now, self.workers.len().div_ceil(8));
         match self.random.below(6) {
             0 => {
-                // Some restart at once and come back cold.
+                // Some workers restart at once and come back cold.
                 let count = self.workers.len();
                 for worker_id in (0..some).map(|i| (worker_id + i) % count) {
                     let worker = &mut self.workers[worker_id];
@@ -289,7 +291,7 @@
             self.schedule(now + (wait as Time).max(1), Event::Arrival);
         }
         let gateway_id = self.random.below(self.gateways.len() as u32) as usize;
-        // The first functions are asked for most.
+        // The first functions get the most requests.
         let many = self.shape.functions.len() as u32;
         let function_id = self.random.below(many).min(self.random.below(many)) as usize;
         let p = self.shape.functions[function_id];
@@ -300,7 +302,7 @@
         let free = gateway.requests.iter().rev().find(|a| a.slot == slot);
         assert!(
             free.is_none_or(|a| a.response.is_some() && a.attempts.iter().all(|a| !a.outstanding)),
-            "rule 1: its place was not free"
+            "rule 1: the slot was not free"
         );
         let id = gateway.requests.len();
         gateway.requests.push(ClientRequest {
@@ -315,10 +317,10 @@
         gateway.arrivals.push(now);
         let incarnation = gateway.incarnation;
         self.schedule(deadline, Event::Deadline(gateway_id, incarnation, id));
-        if !self.shape.calm && self.random.below(50) == 0 {
+        if !self.shape.without_faults && self.random.below(50) == 0 {
             self.schedule(now + (deadline - now) / 3, Event::Abandon(gateway_id, incarnation, id));
         }
-        let load_hint = if self.shape.planted_fault == Some("hopeful") { 0 } else { p.load_time };
+        let load_hint = if self.shape.planted_fault == Some("no_load_hint") { 0 } else { p.load_time };
         let info =
             RequestInfo { cost_hint: p.run as Time, load_hint, tenant: Some(0), ..request_info(p.class) };
         let hash = mix_hashes(function_id as u64 + 1, 99);
@@ -339,11 +341,11 @@
 
     pub(super) fn measure(&mut self, gateway_id: usize) {
         let scheduler = &self.gateways[gateway_id].scheduler;
-        self.most_instances = self
-            .most_instances
+        self.max_instances = self
+            .max_instances
             .max(scheduler.functions.iter().map(|f| f.desired_instances).max().unwrap_or(0));
-        let hand = self.gateways.iter().map(|l| l.scheduler.requests.len()).sum();
-        self.most_in_hand = self.most_in_hand.max(hand);
+        let open_requests = self.gateways.iter().map(|l| l.scheduler.requests.len()).sum();
+        self.max_open_requests = self.max_open_requests.max(open_requests);
     }
 
     pub(super) fn attempt_ended(&mut self, gateway_id: usize, id: usize, attempt: usize) {
@@ -375,7 +377,8 @@
                 reported("busy", busy),
             );
         }
-        let concurrency = if self.shape.planted_fault == Some("crowd") { 30 } else { in_flight.min(30) };
+        let concurrency =
+            if self.shape.planted_fault == Some("false_concurrency") { 30 } else { in_flight.min(30) };
         let note = (1 + 8 * concurrency) * u32::from(matches!(outcome, Outcome::Ok | Outcome::AtCapacity));
         self.gateways[gateway_id].scheduler.attempt_ended(
             slot,
@@ -391,7 +394,8 @@
         if self.gateways[gateway_id].next_sweep != now {
             return;
         }
-        // With nothing in hand sweeps may come late: the module says so, and days would take minutes.
+        // Without open requests, sweeps may come late, as the scheduler allows it. Otherwise long runs would
+        // take minutes.
         let busy = !self.gateways[gateway_id].scheduler.requests.is_empty();
         let next = if busy {
             (self.shape.duration / 4_000).min((self.shape.objective * 10.0) as Time / 20)
@@ -412,23 +416,30 @@
         self.measure(gateway_id);
     }
 
-    fn load_ended(&mut self, gateway_id: usize, function_id: FunctionId, worker_id: WorkerId, how: u8) {
+    fn load_ended(
+        &mut self,
+        gateway_id: usize,
+        function_id: FunctionId,
+        worker_id: WorkerId,
+        outcome_index: u8,
+    ) {
         let now = self.now;
         let at = self.gateways[gateway_id].pending_loads.iter().position(|p| *p == (function_id, worker_id));
         let Some(at) = at else { return };
         self.gateways[gateway_id].pending_loads.swap_remove(at);
         let (from, until) = self.workers[worker_id].instances[function_id];
-        let stands = u32::from(from <= now && until > now);
-        let outcome = [Outcome::Ok, Outcome::Error, Outcome::ConnectFailed, Outcome::TimedOut][how as usize];
-        let stands = if how == 0 { stands } else { 0 };
-        self.gateways[gateway_id].scheduler.load_request_ended(function_id, worker_id, outcome, stands);
+        let loaded = u32::from(from <= now && until > now);
+        let outcome =
+            [Outcome::Ok, Outcome::Error, Outcome::ConnectFailed, Outcome::TimedOut][outcome_index as usize];
+        let loaded = if outcome_index == 0 { loaded } else { 0 };
+        self.gateways[gateway_id].scheduler.load_request_ended(function_id, worker_id, outcome, loaded);
     }
 
     fn health_check_ended(&mut self, gateway_id: usize, worker_id: WorkerId) {
         let now = self.now;
         let worker = &self.workers[worker_id];
-        let well = worker.silent_until <= now && worker.state != EndpointState::Removed;
-        if well && !self.shape.settings.is("reporting.how", "none") {
+        let is_healthy = worker.silent_until <= now && worker.state != EndpointState::Removed;
+        if is_healthy && !self.shape.settings.is("reporting.how", "none") {
             let busy = (f64::from(worker.in_flight) / worker.cores).min(1.0);
             let names = self.shape.settings.text("reporting.names");
             let reported = |name: &str, v: f64| if names.contains(name) { v } else { 0.0 };
@@ -437,7 +448,7 @@
         }
         self.gateways[gateway_id]
             .scheduler
-            .health_check_ended(worker_id, if well { Outcome::Ok } else { Outcome::TimedOut });
+            .health_check_ended(worker_id, if is_healthy { Outcome::Ok } else { Outcome::TimedOut });
     }
 
     fn abandon(&mut self, gateway_id: usize, id: usize) {
@@ -453,7 +464,7 @@
 
     fn update_endpoints(&mut self, gateway_id: usize) {
         let entries: Vec<_> = (0..self.workers.len()).map(|worker_id| self.endpoint(worker_id)).collect();
-        if self.shape.planted_fault != Some("untold") {
+        if self.shape.planted_fault != Some("drop_endpoint_updates") {
             self.gateways[gateway_id].scheduler.update_endpoints(&entries, true);
         }
         self.gateways[gateway_id].endpoints = entries.iter().map(|e| (e.1.state, e.1.started_at)).collect();
@@ -483,15 +494,15 @@
         match event {
             Event::Sweep(..) => self.sweep(gateway_id),
             Event::AttemptEnd(_, _, id, attempt) => self.attempt_ended(gateway_id, id, attempt),
-            Event::LoadEnd(_, _, function_id, worker_id, how) => {
-                self.load_ended(gateway_id, function_id, worker_id, how)
+            Event::LoadEnd(_, _, function_id, worker_id, outcome_index) => {
+                self.load_ended(gateway_id, function_id, worker_id, outcome_index)
             }
             Event::HealthCheckEnd(_, _, worker_id) => self.health_check_ended(gateway_id, worker_id),
             Event::Deadline(_, _, id) => {
                 let request = &self.gateways[gateway_id].requests[id];
                 assert!(
                     request.response.is_some(),
-                    "rule 1: no answer before its client gave up: {}",
+                    "rule 1: no response before the client gave up: {}",
                     self.shape.describe()
                 );
             }
@@ -512,7 +523,7 @@
             self.step(event);
         }
         for gateway in &self.gateways {
-            assert!(gateway.requests.iter().all(|a| a.response.is_some()), "an event is left over");
+            assert!(gateway.requests.iter().all(|a| a.response.is_some()), "a request has no response");
         }
         self.check_slow_start();
         self
--- a/src/choice/tests/sweep.rs
+++ b/src/choice/tests/sweep.rs
@@ -1,10 +1,10 @@
-//! What is looked at again, and that it does not line up.
+//! Periodic checks, and that gateways do not retry at the same moments.
 use super::help::*;
 use super::*;
 use test_case::test_case;
 
 #[test]
-fn functions_that_nothing_asks_for_are_forgotten() {
+fn functions_without_requests_are_forgotten() {
     let mut scheduler = scheduler_with(2, &[]);
     load_first(&mut scheduler, 0, 0);
     scheduler.advance_clock(NOW + 17 * SECOND);
@@ -15,11 +15,12 @@
     );
 }
 
-// The slot of functions to check came from the clock alone: sweeps 20 ms apart passed over every second one for good.
-#[test_case(10 * MS; "as set")]
+// Which functions a sweep checked used to depend on the clock alone: with sweeps 20 ms apart, every second
+// function was never checked.
+#[test_case(10 * MS; "at the set interval")]
 #[test_case(20 * MS; "twice as far apart")]
 #[test_case(130 * MS; "uneven and far apart")]
-#[test_case(5 * SECOND; "after standstills")]
+#[test_case(5 * SECOND; "after pauses of the process")]
 fn every_function_is_checked_however_late_sweeps_come(apart: Time) {
     let mut scheduler = scheduler_with(1, &[]);
     (0..150).for_each(|f| scheduler.register_function(&RequestInfo { function: f, ..request_info(0) }));
@@ -28,22 +29,27 @@
         scheduler.advance_clock(NOW + sweep * apart);
         scheduler.timer_fired(0);
     }
-    assert_eq!(scheduler.functions.iter().filter(|f| f.live).count(), 0, "all idle ones are forgotten");
+    assert_eq!(
+        scheduler.functions.iter().filter(|f| f.live).count(),
+        0,
+        "an idle function was not forgotten"
+    );
 }
 
 #[test]
-fn a_function_is_not_forgotten_while_an_ask_is_out() {
+fn a_function_is_not_forgotten_while_a_query_is_pending() {
     let mut scheduler = scheduler_with(2, &[]);
     scheduler.register_function(&request_info(0));
     scheduler.advance_clock(NOW + 60 * SECOND);
     scheduler.forget_idle(0);
-    assert!(scheduler.functions[0].live, "its index would name another when the answer comes");
+    assert!(scheduler.functions[0].live, "the pending answer would be attributed to another function");
 }
 
-// After one depot stall 200 functions were ordered again in one sweep, at each of the gateways; so were trials and lists.
+// After one stall of the depot, every gateway requested 200 functions again within one sweep. Trials of
+// ejected workers and list requests coincided in the same way.
 #[test_case(1; "one gateway")]
 #[test_case(20; "many gateways")]
-fn repeats_do_not_line_up(gateways: u64) {
+fn repeated_load_requests_are_spread(gateways: u64) {
     let mut at = Vec::new();
     for seed in 0..gateways {
         let siblings = gateways.to_string();
@@ -63,11 +69,11 @@
     }
     at.sort_unstable();
     let most = at.chunk_by(|a, b| a == b).map(<[_]>::len).max().unwrap();
-    assert!(most * 10 < at.len(), "{most} of {} orders fall in one sweep", at.len());
+    assert!(most * 10 < at.len(), "{most} of {} load requests fall in one sweep", at.len());
 }
 
 #[test]
-fn trials_and_lists_do_not_line_up() {
+fn trials_and_list_requests_are_spread() {
     let gateways = (0..50).map(|seed| {
         let mut scheduler = Scheduler::new(Calls::default(), 0, seed, settings(&[])).unwrap();
         scheduler.advance_clock(NOW);
@@ -88,6 +94,6 @@
         at.sort_unstable();
         let most = at.chunk_by(|a, b| a == b).map(<[_]>::len).max().unwrap();
         assert!(most <= 10, "{most} of 50 gateways in one sweep");
-        assert!(at[49] - at[0] >= 20, "spread over a fifth of a second at the least");
+        assert!(at[49] - at[0] >= 20, "spread over less than a fifth of a second");
     }
 }
--- a/src/choice/tests/thousands.rs
+++ b/src/choice/tests/thousands.rs
@@ -1,4 +1,5 @@
-//! Fleets of thousands: what is kept up to date, or taken in late, gives the same as the plain computation.
+//! Large fleets: sums that are kept up to date and endpoint changes that are applied late give the same
+//! results as direct computation.
 use super::help::*;
 use super::*;
 use crate::workers::WarmCapacity;
@@ -12,10 +13,10 @@
     (worker_id, Endpoint { state, started_at, rating, ..endpoint_entry(worker_id).1 })
 }
 
-/// A list that changes a part of the fleet, small or large.
-fn drawn_list(random: &mut RandomGenerator, now: Time) -> Vec<(WorkerId, Endpoint)> {
+/// An endpoint list that changes a small or a large part of the fleet.
+fn random_list(random: &mut RandomGenerator, now: Time) -> Vec<(WorkerId, Endpoint)> {
     let count = if random.below(2) == 0 { 3 } else { WORKERS / 2 };
-    let drawn = (0..count).map(|_| {
+    let entries = (0..count).map(|_| {
         let worker_id = random.below(WORKERS as u32) as usize;
         let state = match random.below(4) {
             0 => EndpointState::Draining,
@@ -24,10 +25,10 @@
         };
         entry(worker_id, state, now - Time::from(random.below(20)) * SECOND)
     });
-    drawn.collect()
+    entries.collect()
 }
 
-fn drawn_outcome(random: &mut RandomGenerator) -> Outcome {
+fn random_outcome(random: &mut RandomGenerator) -> Outcome {
     match random.below(8) {
         0 => Outcome::Miss,
         1 => Outcome::TimedOut,
@@ -37,10 +38,10 @@
     }
 }
 
-/// One thing that happens, the same to both schedulers.
+/// One random event, the same for both schedulers.
 fn step(schedulers: &mut [TestScheduler; 2], random: &mut RandomGenerator, now: Time) {
-    let (kind, list) = (random.below(12), drawn_list(random, now));
-    let (function, outcome) = (random.below(FUNCTIONS as u32) as usize, drawn_outcome(random));
+    let (kind, list) = (random.below(12), random_list(random, now));
+    let (function, outcome) = (random.below(FUNCTIONS as u32) as usize, random_outcome(random));
     let pick = random.below(1_000) as usize;
     for (index, scheduler) in schedulers.iter_mut().enumerate() {
         scheduler.advance_clock(now);
@@ -76,8 +77,8 @@
     }
 }
 
-/// The sums over the fleet, by looking at all workers.
-fn plain_sums(scheduler: &TestScheduler) -> (u32, u32, usize, WarmCapacity) {
+/// The sums over the fleet, computed by visiting all workers.
+fn direct_sums(scheduler: &TestScheduler) -> (u32, u32, usize, WarmCapacity) {
     let now = scheduler.now;
     let active = || scheduler.workers.iter().filter(|worker| worker.is_active());
     let ejected = active().filter(|worker| worker.ejected_until > now).count();
@@ -89,19 +90,20 @@
     (active().count() as u32, active().map(|worker| worker.in_flight).sum(), ejected, warm)
 }
 
-fn kept_sums(scheduler: &TestScheduler) -> (u32, u32, usize, WarmCapacity) {
+fn maintained_sums(scheduler: &TestScheduler) -> (u32, u32, usize, WarmCapacity) {
     let (active, in_flight) = scheduler.workers.active();
     let warm = scheduler.workers.warm_capacity(scheduler.now, |worker| scheduler.warm_at(worker));
     (active, in_flight, scheduler.workers.ejected(scheduler.now), warm)
 }
 
-// The incident of thousands of workers: lists were taken in by all functions, and sums were made anew for each placement.
+// From the incident with thousands of workers: every list was applied to all functions at once, and sums were
+// computed again for each placement.
 #[test_case("2", 1)]
 #[test_case("2", 2)]
 #[test_case("300", 3)]
 #[test_case("300", 4)]
 #[test_case("300", 5)]
-fn what_is_kept_or_taken_in_late_is_the_same(siblings: &str, seed: u64) {
+fn maintained_sums_and_late_changes_give_the_same_results(siblings: &str, seed: u64) {
     let mut random = RandomGenerator::new(seed);
     let mut schedulers = [0, 1].map(|_| {
         let mut scheduler = scheduler_with(0, &[("siblings", siblings)]);
@@ -109,22 +111,22 @@
         scheduler.update_endpoints(&all, true);
         scheduler
     });
-    let mut taken_in_late = 0;
+    let mut late_functions = 0;
     for i in 0..3_000 {
         step(&mut schedulers, &mut random, NOW + i * 300);
         for scheduler in &schedulers {
-            assert_eq!(kept_sums(scheduler), plain_sums(scheduler), "step {i}");
+            assert_eq!(maintained_sums(scheduler), direct_sums(scheduler), "step {i}");
         }
         let behind = |f: &&Function| f.live && f.changes_seen < schedulers[0].endpoint_changes.end();
-        taken_in_late += schedulers[0].functions.iter().filter(behind).count();
+        late_functions += schedulers[0].functions.iter().filter(behind).count();
         assert_eq!(schedulers[0].host.0, schedulers[1].host.0, "step {i}");
     }
-    assert!(taken_in_late > 1_000, "{taken_in_late}: nothing was tried");
+    assert!(late_functions > 1_000, "{late_functions}: hardly any change was applied late");
 }
 
-// Guards against a history of the list that grows for ever.
+// The history of endpoint changes must not grow without bound.
 #[test]
-fn changes_that_all_functions_have_taken_in_go() {
+fn changes_that_all_functions_have_applied_are_dropped() {
     let scheduler = &mut scheduler_with(WORKERS, &[]);
     (0..20).for_each(|f| scheduler.register_function(&RequestInfo { function: f, ..request_info(0) }));
     for i in 0..100 {
@@ -140,15 +142,15 @@
     }
 }
 
-// A worker first heard of as draining had a place by a name that was not known, and kept it once it was active.
+// A worker first listed as draining was placed by an unknown name, and kept that position once it was active.
 #[test]
-fn a_worker_that_was_draining_at_first_has_its_place_in_the_order() {
+fn a_worker_first_listed_as_draining_has_its_position_in_the_order() {
     let (mut late, mut whole) = (scheduler_with(0, &[]), scheduler_with(5, &[]));
     late.register_function(&request_info(0));
     whole.register_function(&request_info(0));
     let draining = (0..5).map(|w| entry(w, EndpointState::Draining, 0)).collect::<Vec<_>>();
     late.update_endpoints(&draining, true);
-    late.functions[0].last_request_at = NOW; // or it would be forgotten
+    late.functions[0].last_request_at = NOW; // otherwise it would be forgotten
     late.add_missing_placements(0);
     late.update_endpoints(&(0..5).map(endpoint_entry).collect::<Vec<_>>(), true);
     let order = |s: &TestScheduler| s.functions[0].placements.iter().map(|p| p.worker_id).collect::<Vec<_>>();
--- a/src/config.rs
+++ b/src/config.rs
@@ -19,7 +19,7 @@
     pub keep_alive: Time,
     /// Resolution of the clock.
     pub tick: Time,
-    /// Interval between sweeps over the requests in hand.
+    /// Interval between sweeps over the open requests.
     pub sweep_interval: Time,
     /// How long a request waits for the answer to a load check; 0 where it does not wait.
     pub load_check_timeout: Time,
--- a/src/service_evidence.rs
+++ b/src/service_evidence.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceEvidence {
     /// It accepted work: it executed an attempt, or looked for the instance.
-    pub took_work_at: Time,
+    pub accepted_work_at: Time,
     /// It answered a health check as healthy.
     pub healthy_at: Time,
     /// It answered a query for instances.
@@ -52,6 +52,6 @@
 impl ServiceEvidence {
     /// The latest time as of which it is known to have been in service.
     pub fn confirmed_at(&self) -> Time {
-        self.took_work_at.max(self.healthy_at.min(self.queried_at))
+        self.accepted_work_at.max(self.healthy_at.min(self.queried_at))
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -36,7 +36,7 @@
     /// Time until which it is ejected.
     pub ejected_until: Time,
     /// Duration of the last ejection; 0 after a good answer.
-    pub ejection_time: Time,
+    pub ejection_duration: Time,
     /// Work that it recently completed for this gateway.
     pub completed_work: Counter,
     /// Time and class of the attempts that count against its slow-start budget.
@@ -323,7 +323,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Time,
+    pub elapsed: Time,
     /// What the worker reported beside the outcome.
     pub note: AttemptNote,
 }
