--- a/src/choice/endpoint_age.rs
+++ b/src/choice/endpoint_age.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether the settings allow health checks or queries, which the drain rule exempts. Where they do not,
-    /// only attempts show a worker's state, and requests continue to be sent by the last list.
+    /// only attempts show a worker's state, and requests are sent on the basis of the last list.
     fn can_check_service(&self) -> bool {
         self.config.may_check_health || self.config.may_load
     }
--- a/src/choice/load_checks.rs
+++ b/src/choice/load_checks.rs
@@ -2,11 +2,11 @@
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// Departure: in a large fleet, own requests in flight do not show a worker's load. So the next two
-    /// placements of the rotation are checked, and the second is used if the first is clearly fuller. A
-    /// report is used for a fifth of a second (reports are no more recent than that). A worker that takes
-    /// over 20 ms to answer counts as full, so a silent or jammed worker delays a request by no more than
-    /// that.
+    /// Returns the placement to use for the request, None if the request has to wait. Departure: in a large
+    /// fleet, own requests in flight do not show a worker's load. So the next two placements of the rotation
+    /// are checked, and the second is used if the first is clearly fuller. A report is used for a fifth of a
+    /// second (reports are no more recent than that). A worker that takes over 20 ms to answer counts as
+    /// full, so a silent or jammed worker delays a request by no more than that.
     pub(super) fn check_load(&mut self, slot: RequestSlot, selection: &Selection) -> Option<usize> {
         let first = selection.first;
         if !self.config.load_checks || self.report_mismatch_ratio > MAX_REPORT_MISMATCH_RATIO {
--- a/src/choice/load_requests.rs
+++ b/src/choice/load_requests.rs
@@ -2,7 +2,8 @@
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// Requests missing instances for the first n placements, and renews instances that are in use.
+    /// Requests missing instances for the first n usable placements, where n is the desired number of
+    /// instances, and renews instances that are in use.
     pub(crate) fn request_loads(&mut self, function_id: FunctionId) {
         let n = self.functions[function_id].desired_instances;
         let (primary_count, renewal_age) =
--- a/src/choice/outcomes.rs
+++ b/src/choice/outcomes.rs
@@ -2,8 +2,9 @@
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// An attempt has ended with `outcome` after `took`. `finished` is true if the client has its response by
-    /// it. `note` is what the worker reports beside the outcome, packed as described at `AttemptNote`.
+    /// An attempt has ended with `outcome` after the time `elapsed`. `finished` is true if the client has its
+    /// response by it. `note` is what the worker reports beside the outcome, packed as described at
+    /// `AttemptNote`.
     pub fn attempt_ended(
         &mut self,
         slot: RequestSlot,
@@ -105,7 +106,7 @@
         if !note.is_warm() {
             return;
         }
-        self.slow_start_cost_seen(worker_id, info.class, latency);
+        self.record_slow_start_cost(worker_id, info.class, latency);
         let (class, function) = (&mut self.classes[info.class], &mut self.functions[info.function]);
         let is_known = function.warm_latency > 0.0;
         function.warm_latency = if is_known { smooth(function.warm_latency, latency) } else { latency };
--- a/src/choice/outliers.rs
+++ b/src/choice/outliers.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: learned in-flight limits, ejection of failing workers, and fleet-wide overload.
+//! Outlier detection: learned in-flight limits, ejection of failing workers, and detection of overload.
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
--- a/src/choice/presumed_starts.rs
+++ b/src/choice/presumed_starts.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether a worker that is in service now may have restarted since it was last confirmed. This holds if
-    /// no connection to it has stood since it denied service, or since one broke a while before the next was
+    /// no connection to it has stood since it denied service, or if one broke a while before the next was
     /// opened. A worker that was away briefly and still has instances has not restarted: nobody could have
     /// loaded them again by then.
     pub(super) fn may_have_restarted(&self, worker_id: WorkerId, before: &ServiceEvidence) -> bool {
--- a/src/choice/requests.rs
+++ b/src/choice/requests.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tries waiting requests again that `which` selects, oldest first.
+    /// Tries the waiting requests for which `is_selected` holds again, oldest first.
     pub(crate) fn retry_waiting(&mut self, is_selected: impl Fn(&Request) -> bool) {
         for _ in 0..self.waiting.len() {
             let Some(slot) = self.waiting.pop_front() else { return };
@@ -117,7 +117,7 @@
         if is_retry_harmless {
             // Spread between half and all of a tenth of the latency objective, so that requests rejected
             // together do not return together, and return in time (a quarter, and the longest allowed, did
-            // worse). A request that waits for a load returns when the load is due.
+            // worse). A request that waits for a load returns once the load is due.
             let objective = self.classes[request.info.class].latency_objective;
             let max_retry_after = self.config.max_retry_after;
             let retry_after = (objective / 10).max(2 * load_due).min(max_retry_after) as u32;
@@ -134,7 +134,7 @@
     /// The client has cancelled the request or disconnected.
     pub fn client_abandoned(&mut self, slot: RequestSlot) {
         let Some(request) = self.requests.get(slot).filter(|request| !request.finished) else { return };
-        // Clients that leave early without notice want their answers before that time, because latencies are
+        // Clients that leave early without notice want their answers before that time, so latencies are
         // judged by it. One such client moves the observed objective eight times as far as an answer moves it
         // back, so a few in a hundred do not matter. If clients leave for other reasons, this only makes the
         // limits tighter. Clients that leave before the usual latency are not counted, as none of them can
--- a/src/choice/scaling.rs
+++ b/src/choice/scaling.rs
@@ -10,8 +10,8 @@
         let objective = objective.min(class.client_timeout) / second;
         let warm_latency = function.warm_latency;
         let run_time = if warm_latency > 0.0 { warm_latency / second } else { objective / 10.0 };
-        // A run takes at least a tenth of a millisecond, the resolution of the clock, and so may the
-        // objective.
+        // A run takes at least a tenth of a millisecond, the resolution of the clock, and the objective may
+        // be as short.
         let (run_time, lanes) = (run_time.max(1e-4).min(objective / 2.0), f64::from(function.lanes));
         let (min, max) = (1.0 / (objective - run_time), 1.0 / run_time);
         // Departure: where the rounded bounds cross (runs of about a second and more) they are not rounded.
--- a/src/choice/selection.rs
+++ b/src/choice/selection.rs
@@ -2,8 +2,9 @@
 use super::*;
 
 impl<A: SchedulerActions> Scheduler<A> {
-    /// Rotates over the first n placements. Returns the next one whose instance is loaded and whose lanes and
-    /// worker are below their limits, the one after it, and the rotation that follows.
+    /// Rotates over the first n usable placements, where n is the desired number of instances. Returns the
+    /// next one whose instance is loaded and whose lanes and worker are below their limits, the one after it,
+    /// and the rotation that follows.
     pub(super) fn select_placements(&self, slot: RequestSlot, weight: f64) -> Option<Selection> {
         let function_id = self.requests[slot].info.function;
         let function = &self.functions[function_id];
--- a/src/choice/service_answers.rs
+++ b/src/choice/service_answers.rs
@@ -106,7 +106,7 @@
             let doublings = after.rejections.saturating_sub(MAX_REJECTIONS).min(MAX_INTERVAL_DOUBLINGS);
             // Jittered, so that not all gateways ask at the same moment.
             let wait = self.jitter(SERVICE_CHECK_INTERVAL << doublings);
-            // Asking a worker that cannot be reached costs it nothing.
+            // A worker that cannot be reached is asked sooner, because the question costs nobody anything.
             let wait = if self.host.connected_since(worker_id) == Time::MAX { wait / 2 } else { wait };
             self.workers[worker_id].service.ask_again_at = self.now + wait;
             if before.denied_at <= known_before {
--- a/src/choice/slow_start.rs
+++ b/src/choice/slow_start.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records the cost of an attempt at a worker in slow start that succeeded after `latency`.
-    pub(super) fn slow_start_cost_seen(&mut self, worker_id: WorkerId, class: usize, latency: f64) {
+    pub(super) fn record_slow_start_cost(&mut self, worker_id: WorkerId, class: usize, latency: f64) {
         if self.slow_start_share(&self.workers[worker_id]).is_none() {
             return;
         }
--- a/src/choice/tests/settings.rs
+++ b/src/choice/tests/settings.rs
@@ -5,7 +5,7 @@
 
 #[test_case("rules.cold-ms", "soon", "rules.cold-ms: 'soon' is not a time")]
 #[test_case("classes.1.aim-ms", "-1", "classes.1.aim-ms: '-1' is not a time")]
-#[test_case("classes.2.aim-ms", "0", "classes.2.aim-ms: neither it nor deadline-ms is told")]
+#[test_case("classes.2.aim-ms", "0", "classes.2.aim-ms: neither it nor deadline-ms is set")]
 #[test_case("siblings", "0", "siblings: '0' is no whole number from 1 to 1000000")]
 #[test_case("siblings", "NaN", "siblings: 'NaN' is no whole number from 1 to 1000000")]
 #[test_case("me", "2", "me: 2 is not under siblings, 2")]
--- a/src/choice/tests/slow_start.rs
+++ b/src/choice/tests/slow_start.rs
@@ -117,7 +117,7 @@
     assert!(!scheduler.has_slow_start_capacity(0, 0));
     scheduler.workers[0].slow_start_attempt_ended(NOW, 0);
     let usual = scheduler.classes[0].warm_latency;
-    scheduler.slow_start_cost_seen(0, 0, usual);
+    scheduler.record_slow_start_cost(0, 0, usual);
     assert!(scheduler.has_slow_start_capacity(0, 0));
 }
 
@@ -127,7 +127,7 @@
     let mut scheduler = scheduler_with_cold_worker();
     let usual = scheduler.classes[0].warm_latency;
     scheduler.workers[0].slow_start_attempts.push_back((NOW, 0));
-    scheduler.slow_start_cost_seen(0, 0, ratio * usual);
+    scheduler.record_slow_start_cost(0, 0, ratio * usual);
     assert_eq!(scheduler.has_slow_start_capacity(0, 0), has_capacity);
 }
 
@@ -136,7 +136,7 @@
 fn an_open_attempt_costs_the_time_it_has_taken(age_ms: Time, has_capacity: bool) {
     let mut scheduler = scheduler_with_cold_worker();
     let usual = scheduler.classes[0].warm_latency;
-    scheduler.slow_start_cost_seen(0, 0, usual);
+    scheduler.record_slow_start_cost(0, 0, usual);
     scheduler.workers[0].attempt_sent(NOW, 0, 2 * SECOND);
     scheduler.advance_clock(NOW + age_ms * MS);
     assert_eq!(scheduler.has_slow_start_capacity(0, 0), has_capacity);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -239,7 +239,7 @@
                 write!(f, "me: {index} is not under siblings, {gateways}")
             }
             SettingsError::NoObjective { class } => {
-                write!(f, "classes.{class}.aim-ms: neither it nor deadline-ms is told")
+                write!(f, "classes.{class}.aim-ms: neither it nor deadline-ms is set")
             }
         }
     }
