--- a/crates/tidewall-lease/src/assignment.rs
+++ b/crates/tidewall-lease/src/assignment.rs
@@ -1,40 +1,41 @@
-//! Preferred holder of each task: of the members present, the one with the highest weight for it (rendezvous hashing; Thaler
-//! and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), so that a member that joins or leaves moves
-//! only its own tasks. This decides who should request a lease; who gets one is decided by the grantors.
+//! The preferred holder of each task: the present member with the highest weight for it (rendezvous hashing;
+//! Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). A member that joins or
+//! leaves therefore moves only its own tasks. The assignment decides which member should request a lease; the
+//! grantors decide which member gets it.
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Checksum over the fields of an effect that is sent to a worker: no bit of it may change unnoticed on the way, nor may it be
-/// taken for another task's or another gateway's.
+/// Checksum over the fields of an effect that is sent to a worker. It detects a changed bit, and an effect
+/// that was built for another task or by another gateway.
 pub fn checksum(fields: &[u64]) -> u64 {
     fields.iter().fold(0, |seed, field| {
         xxh3_64_with_seed(&field.to_be_bytes(), seed)
     })
 }
 
-/// Hash of a member's or a worker's name, from which its weights for all tasks derive.
+/// Hash of the name of a member or worker, from which its weights for all tasks are derived.
 pub fn key(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Weight of a member or worker (by its `key`) for a task; the highest one is preferred.
+/// Weight of a member or worker (given by its `key`) for a task. The highest weight is preferred.
 pub fn weight(task: usize, key: u64) -> u64 {
     xxh3_64_with_seed(&(task as u64).to_be_bytes(), key)
 }
 
-/// Which member should hold which task.
+/// Determines which member should hold which task.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// By member: the hash of its name.
+    /// Indexed by member: the hash of its name.
     keys: Vec<u64>,
-    /// By member: whether it takes part.
+    /// Indexed by member: whether it is present.
     present: Vec<bool>,
-    /// By task: the preferred holder; `None` while no member is present.
+    /// Indexed by task: the preferred holder; `None` while no member is present.
     owners: Vec<Option<usize>>,
 }
 
 impl Assignment {
-    /// No member is present yet. Weights derive from the members' names, so the order in which the settings list them does
-    /// not matter.
+    /// Creates an assignment without present members. Weights are derived from the members' names, so the
+    /// order in which the settings list the members does not matter.
     pub fn new(names: &[String], tasks: usize) -> Assignment {
         Assignment {
             keys: names.iter().map(|name| key(name)).collect(),
@@ -47,12 +48,13 @@
         weight(task, self.keys[member])
     }
 
-    /// The preferred holder of a task; `None` while no member is present.
+    /// Returns the preferred holder of a task; `None` while no member is present.
     pub fn owner(&self, task: usize) -> Option<usize> {
         self.owners[task]
     }
 
-    /// Adds a member. `on_move` gets each task whose owner changes, the owner before and the owner after, by task number.
+    /// Adds a member. `on_move` is called, in order of task number, for each task whose preferred holder
+    /// changes, with the previous and the new holder.
     pub fn member_joined(
         &mut self,
         member: usize,
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Removes a member. `on_move` gets each of its tasks, the owner before and the owner after, by task number.
+    /// Removes a member. `on_move` is called, in order of task number, for each task of that member, with the
+    /// previous and the new holder.
     pub fn member_left(
         &mut self,
         member: usize,
--- a/crates/tidewall-lease/src/claim.rs
+++ b/crates/tidewall-lease/src/claim.rs
@@ -1,14 +1,14 @@
-//! A lease's claim as a Paxos round: where its requests go, and what it may propose.
+//! Runs the claim of a lease as a Paxos round: defines where the requests go and what may be proposed.
 use crate::grantor::{Grant, LeaseOwner};
 use crate::lease::LeaseActions;
 use crate::proposer::{ProposalRule, ProposerTransport};
 
-/// Connects a round, which knows acceptors only, with the grantors of one task.
+/// Connects a round, which addresses acceptors by number, to the grantors of one task.
 pub(crate) struct GrantorTransport<'a, A> {
     pub(crate) actions: &'a mut A,
     pub(crate) task: usize,
     pub(crate) tag: u32,
-    /// Whether the round went on to phase 2.
+    /// Whether the round sent its phase 2 requests.
     pub(crate) accept_sent: bool,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A member proposes itself, unless another one's lease still runs.
+/// A member proposes itself as the holder unless the lease of another member may still be running.
 pub(crate) struct LeaseRule {
     pub(crate) requester: LeaseOwner,
 }
@@ -32,7 +32,8 @@
 impl ProposalRule<Grant> for LeaseRule {
     type Rejection = Grant;
 
-    /// Another's lease that a majority may have granted, and that still runs at a grantor that reported it, is respected.
+    /// Rejects the proposal if a majority may have granted a lease to another owner and a grantor reported
+    /// that lease as unexpired.
     fn propose(&mut self, ballot: u64, accepted: Option<Grant>) -> Result<Grant, Grant> {
         match accepted {
             Some(other) if other.owner() != self.requester => Err(other),
--- a/crates/tidewall-lease/src/grantor.rs
+++ b/crates/tidewall-lease/src/grantor.rs
@@ -1,25 +1,26 @@
-//! The grantor of leases: a Paxos acceptor for each task, whose accepted value is a lease with a time of expiry. While a
-//! lease runs, nothing is promised to anybody else. A lease counts from when the grantor hears of the request.
+//! The grantor of leases: one Paxos acceptor per task, whose accepted value is a lease with an expiry time.
+//! While a lease runs, the grantor makes no promise to another owner. A lease runs from the time at which the
+//! grantor handles the request.
 //!
-//! Grantors have no disk. After its start a grantor stays silent for one lease duration, so that whatever its former
-//! incarnation granted has expired before it grants anew.
+//! Grantors store nothing on disk. After its start a grantor answers no request for one lease duration, so
+//! that everything its previous incarnation granted has expired before it grants a lease again.
 use crate::acceptor::{AcceptorState, BallotedValue};
 use crate::ballot::is_plausible_after;
 use crate::{SafetyChecks, Time};
 
-/// Who requests or holds a lease: one incarnation of a member.
+/// The requester or holder of a lease: one incarnation of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseOwner {
     /// The member's number.
     pub member: usize,
-    /// The member's incarnation, wall-clock milliseconds of its start.
+    /// The member's incarnation: the wall-clock time of its start in milliseconds.
     pub incarnation: u64,
 }
 
-/// A lease as grantors accept it.
+/// A lease as accepted by grantors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// The ballot under which it was requested; 0: there is none.
+    /// The ballot under which the lease was requested; 0 if there is no lease.
     pub epoch: u64,
     /// The holder's number.
     pub member: usize,
@@ -34,7 +35,7 @@
 }
 
 impl Grant {
-    /// Whose lease it is.
+    /// The owner of the lease.
     pub fn owner(&self) -> LeaseOwner {
         LeaseOwner {
             member: self.member,
@@ -43,10 +44,10 @@
     }
 }
 
-/// One task at one grantor.
+/// The state of one task at one grantor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GrantorSlot {
-    /// Ballot promised and lease accepted last.
+    /// The highest ballot promised and the lease accepted last.
     pub acceptor: AcceptorState<Grant>,
     /// When the lease accepted last expires, by the grantor's clock.
     pub expires_at: Time,
@@ -57,14 +58,16 @@
 pub struct GrantorReply {
     /// Whether the request was granted.
     pub granted: bool,
-    /// The grantor's state after the request; its lease is the default one where the last has expired.
+    /// The grantor's state after the request. Its accepted lease is the default value if the last lease has
+    /// expired.
     pub state: AcceptorState<Grant>,
-    /// For how long that lease still keeps others from the task; 0 where it has expired.
+    /// How long the accepted lease still keeps others from the task; 0 if it has expired.
     pub remaining: Time,
 }
 
 impl GrantorSlot {
-    /// Whether the ballot could follow the one promised: one faulty message would otherwise use up all ballots.
+    /// Whether the ballot is close enough to the promised one to be genuine. Without this check a single
+    /// faulty message could use up all ballots.
     fn is_plausible(&self, ballot: u64) -> bool {
         is_plausible_after(ballot, self.acceptor.promised)
     }
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Phase 1: a member requests a promise for a ballot of its own. While another's lease runs nothing is promised: a
-    /// promise would make this grantor reject that one's renewals.
+    /// Phase 1: a member requests a promise for one of its ballots. While the lease of another owner runs, no
+    /// promise is given, because it would make this grantor reject that owner's renewals.
     #[must_use]
     pub fn prepare(&mut self, now: Time, ballot: u64, requester: LeaseOwner) -> GrantorReply {
         let held_by_other = now < self.expires_at && self.acceptor.accepted.owner() != requester;
@@ -90,7 +93,7 @@
         self.reply(now, granted)
     }
 
-    /// Phase 2, and each renewal: the lease runs for `lease_duration` from now.
+    /// Phase 2, and each renewal. An accepted lease runs for `lease_duration` from `now`.
     #[must_use]
     pub fn accept(&mut self, now: Time, grant: Grant, lease_duration: Time) -> GrantorReply {
         let granted = self.is_plausible(grant.epoch) && self.acceptor.accept(grant);
@@ -100,8 +103,8 @@
         self.reply(now, granted)
     }
 
-    /// The holder gives back the lease of that epoch. The epoch is promised away, so that a renewal that is still on its way
-    /// does not bring the lease back.
+    /// The holder releases the lease of that epoch. The promise is raised above the epoch, so that a renewal
+    /// still in flight does not restore the lease.
     pub fn release(&mut self, now: Time, epoch: u64) {
         if self.acceptor.accepted.epoch == epoch {
             self.expires_at = now;
@@ -110,17 +113,17 @@
     }
 }
 
-/// All tasks at one grantor.
+/// The state of all tasks at one grantor.
 #[derive(Debug)]
 pub struct LeaseGrantor {
     slots: Vec<GrantorSlot>,
     lease_duration: Time,
-    /// No request is answered before this time.
+    /// The grantor answers no request before this time.
     silent_until: Time,
 }
 
 impl LeaseGrantor {
-    /// A grantor that starts now, without memory of what it granted before.
+    /// Creates a grantor that starts at `now` with no record of earlier grants.
     pub fn new(
         now: Time,
         tasks: usize,
@@ -139,7 +142,7 @@
         }
     }
 
-    /// The task's slot; `None` during the silence after the start, and where there is no such task.
+    /// Returns the slot of a task; `None` during the silence after the start, and if there is no such task.
     fn slot(&mut self, now: Time, task: usize) -> Option<&mut GrantorSlot> {
         if now < self.silent_until {
             return None;
--- a/crates/tidewall-lease/src/holder.rs
+++ b/crates/tidewall-lease/src/holder.rs
@@ -1,10 +1,10 @@
-//! The leases of all tasks at one member: which of them is due when. Renewals go before new requests, and no more requests
-//! are sent at a time than the member's rate limit allows.
+//! The leases of all tasks at one member, and the times at which they need action. Renewals are sent before
+//! new claims, and the number of requests sent at a time is bounded by the member's rate limit.
 use crate::lease::{AcceptReply, Lease, LeaseActions, LeaseConfig, LeaseState, PrepareReply};
 use crate::Time;
 use std::collections::BTreeSet;
 
-/// When a lease is due. Ordered by time, then by task.
+/// The time at which a lease needs action. Ordered by time, then by task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Time,
@@ -13,13 +13,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Queue {
-    /// Leases held here: they expire unless they are renewed in time.
+    /// Leases held by this member. They expire unless they are renewed in time.
     Held,
-    /// Leases that are requested, or will be.
+    /// Leases that are not held, including those that are being claimed.
     Claims,
 }
 
-/// Which queue a lease belongs in.
+/// Returns the queue that a lease belongs to.
 fn queue_of(lease: &Lease) -> Queue {
     match lease.state {
         LeaseState::Held | LeaseState::Stopping => Queue::Held,
@@ -31,14 +31,14 @@
 #[derive(Debug)]
 pub struct LeaseHolder {
     config: LeaseConfig,
-    /// By task.
+    /// Indexed by task.
     leases: Vec<Lease>,
     held: BTreeSet<Deadline>,
     claims: BTreeSet<Deadline>,
 }
 
 impl LeaseHolder {
-    /// Holds and wants nothing yet.
+    /// Creates a holder that holds and wants no lease.
     pub fn new(config: LeaseConfig, tasks: usize) -> LeaseHolder {
         LeaseHolder {
             config,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// The lease of a task, which must be below the number given to [`LeaseHolder::new`].
+    /// Returns the lease of a task. Panics if `task` is not below the number given to [`LeaseHolder::new`].
     pub fn lease(&self, task: usize) -> &Lease {
         &self.leases[task]
     }
 
-    /// Tasks that may be performed here now.
+    /// The number of tasks that this member may perform at `now`.
     pub fn held_count(&self, now: Time) -> usize {
         self.held
             .iter()
@@ -61,7 +61,7 @@
             .count()
     }
 
-    /// Leases held here, with those that are about to be given back.
+    /// The number of leases held by this member, including those that it is about to release.
     pub fn running_count(&self) -> usize {
         self.held.len()
     }
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Changes one lease, and queues it anew where its deadline changed. `None` where there is no such task.
+    /// Applies a change to one lease and requeues the lease if its queue or deadline changed. Returns `None`
+    /// if there is no such task.
     fn update<R>(
         &mut self,
         task: usize,
@@ -134,7 +135,7 @@
         });
     }
 
-    /// See [`Lease::execution_stopped`]: whether the lease was given back.
+    /// See [`Lease::execution_stopped`]. Returns whether the lease was released.
     pub fn execution_stopped(
         &mut self,
         now: Time,
@@ -161,10 +162,10 @@
         });
     }
 
-    /// Does what is due, for at most `max_tasks` tasks.
+    /// Runs the due timers of at most `max_tasks` tasks.
     pub fn run_due(&mut self, now: Time, actions: &mut impl LeaseActions, max_tasks: usize) {
         for _ in 0..max_tasks {
-            // A lease that may expire goes before one that is not held yet.
+            // Held leases come first because they may expire.
             let due = |queue: &BTreeSet<Deadline>| {
                 queue
                     .first()
--- a/crates/tidewall-lease/src/lease.rs
+++ b/crates/tidewall-lease/src/lease.rs
@@ -1,6 +1,6 @@
-//! One task at one member: its lease is requested, renewed and given back. The lease may be used until a time of the member's
-//! own clock, counted from the request and shortened by what clocks may differ, so that it is over here before any grantor
-//! lets another member have it.
+//! The lease of one task at one member: how it is claimed, renewed and released. The lease may be used until
+//! a time of the member's own clock. That time is counted from the request and shortened by the possible
+//! clock error, so that the use ends before any grantor lets another member have the lease.
 use crate::ballot::{ballot_owner, is_plausible_after};
 use crate::claim::{GrantorTransport, LeaseRule};
 use crate::grantor::{Grant, GrantorReply, LeaseOwner};
@@ -8,29 +8,29 @@
 use crate::renewal::{PendingRenewals, RenewalOutcome};
 use crate::{SafetyChecks, Time};
 
-/// Grantors at most: a set of them is one `u64`.
+/// The maximum number of grantors: a set of grantors is stored as one `u64`.
 pub const MAX_GRANTORS: usize = 63;
 
-/// A lease is renewed after this part of its usable duration: with the doubling pauses between requests, three of them may
-/// be lost before it expires.
+/// A lease is renewed after one `RENEWALS_PER_DURATION`th of its usable duration. Because the pause between
+/// requests doubles, three requests may be lost before the lease expires.
 const RENEWALS_PER_DURATION: Time = 4;
 
-/// What all leases of a member have in common.
+/// The configuration that all leases of a member share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// This member's number.
     pub member: usize,
-    /// This member's incarnation, wall-clock milliseconds of its start.
+    /// This member's incarnation: the wall-clock time of its start in milliseconds.
     pub incarnation: u64,
     /// The number of grantors, at most [`MAX_GRANTORS`].
     pub grantors: usize,
-    /// For how long after its request a lease may be used, see [`crate::duration::usable_duration`].
+    /// How long after its request a lease may be used, see [`crate::duration::usable_duration`].
     pub usable_duration: Time,
-    /// The first pause before an unanswered request is sent again; it doubles each time.
+    /// The first pause before an unanswered request is sent again. The pause doubles each time.
     pub retry: Time,
-    /// Drawn for each member, so that not all of them renew at the same moment.
+    /// An offset drawn for each member, so that not all members renew at the same moment.
     pub offset: Time,
-    /// Protections that may be off in tests.
+    /// Safety checks that tests may disable.
     pub safety_checks: SafetyChecks,
 }
 
@@ -47,92 +47,94 @@
     }
 }
 
-/// What leases do: requests to grantors, notices to whoever performs the task.
+/// The side effects of leases: requests to grantors, and notices to whoever performs the task.
 pub trait LeaseActions {
-    /// Phase 1 request to a grantor.
+    /// Sends a phase 1 request to a grantor.
     fn prepare(&mut self, grantor: usize, task: usize, ballot: u64);
-    /// Phase 2 request, or a renewal. The tag comes back with the reply and names the request that it answers.
+    /// Sends a phase 2 request or a renewal. The reply carries the tag, which identifies the request that it
+    /// answers.
     fn accept(&mut self, grantor: usize, task: usize, epoch: u64, tag: u32);
-    /// Gives the lease of that epoch back.
+    /// Releases the lease of that epoch.
     fn release(&mut self, grantor: usize, task: usize, epoch: u64);
-    /// The lease of that epoch may be used until then; called again after each renewal.
+    /// The lease of that epoch may be used until `usable_until`. Called again after each renewal.
     fn lease_acquired(&mut self, task: usize, epoch: u64, usable_until: Time);
-    /// The lease may not be used any longer. Where the task is given back, [`Lease::execution_stopped`] has to follow; the
-    /// notice is repeated until then.
+    /// The lease may not be used any longer. If the lease is to be released, [`Lease::execution_stopped`] has
+    /// to be called afterwards; until then this notice is repeated.
     fn lease_lost(&mut self, task: usize, epoch: u64);
-    /// A random number below `bound`.
+    /// Returns a random number below `bound`.
     fn random_below(&mut self, bound: Time) -> Time;
 }
 
 /// A grantor's reply to a phase 1 request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PrepareReply {
-    /// Which of the grantors replied.
+    /// The index of the grantor that replied.
     pub grantor: usize,
     /// The ballot of the request.
     pub ballot: u64,
-    /// What it replied.
+    /// The grantor's reply.
     pub reply: GrantorReply,
 }
 
 /// A grantor's reply to a phase 2 request or a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptReply {
-    /// Which of the grantors replied.
+    /// The index of the grantor that replied.
     pub grantor: usize,
     /// The epoch of the request.
     pub epoch: u64,
     /// The tag of the request.
     pub tag: u32,
-    /// What it replied.
+    /// The grantor's reply.
     pub reply: GrantorReply,
 }
 
-/// Where a lease stands.
+/// The state of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// Another member's, or nobody's.
+    /// Held by another member or by none, as far as is known here.
     Idle,
-    /// Requested; no majority granted it yet.
+    /// Requested, but not yet granted by a majority.
     Claiming,
-    /// Granted by a majority; usable until its time runs out.
+    /// Granted by a majority. It is usable until its time runs out.
     Held,
-    /// To be given back as soon as nobody here performs the task any more.
+    /// To be released as soon as this member no longer performs the task.
     Stopping,
 }
 
-/// The lease of one task as one member sees it.
+/// The lease of one task as seen by one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     task: usize,
-    /// Where it stands.
+    /// The state of the lease.
     pub state: LeaseState,
-    /// Whether this member should hold it.
+    /// Whether this member should hold the lease.
     wanted: bool,
-    /// The request, while the state is `Claiming`.
+    /// The Paxos round of the claim while the state is `Claiming`.
     round: Option<Box<ProposerRound<Grant>>>,
-    /// A new request needs a ballot above it.
+    /// The highest ballot seen. A new claim needs a higher one.
     highest_ballot_seen: u64,
-    /// The epoch under which it is, or was last, held here.
+    /// The epoch under which this member holds, or last held, the lease.
     pub epoch: u64,
-    /// Until when it may be used while its state is `Held`.
+    /// When the lease stops being usable, while the state is `Held`.
     pub usable_until: Time,
-    /// Numbers requests; 0: there was none.
+    /// The tag of the last request; 0 if there was none.
     last_tag: u32,
-    /// When the request under way was sent.
+    /// When the current request was sent.
     requested_at: Time,
     renewals: PendingRenewals,
-    /// The pause until the next retransmission; it doubles each time.
+    /// The pause before the next retransmission. It doubles each time.
     retry_pause: Time,
-    /// Until when another member's lease runs, by the grantor that reports the longest time: a request before that is in
-    /// vain, and with a grantor down this is found out only when the request times out.
+    /// When another member's lease expires, according to the grantor that reported the longest remaining
+    /// time. An earlier claim would fail, and with a grantor down the failure would only be noticed when the
+    /// claim times out.
     held_elsewhere_until: Time,
-    /// When [`Lease::timer_fired`] is due; `Time::MAX`: nothing is to be done.
+    /// When [`Lease::timer_fired`] is due; `Time::MAX` if no action is pending.
     pub next_action_at: Time,
 }
 
 impl Lease {
-    /// Idle and not wanted.
+    /// Creates a lease that is idle and not wanted.
     pub fn new(task: usize) -> Lease {
         Lease {
             task,
@@ -151,18 +153,18 @@
         }
     }
 
-    /// Whether this member should hold it.
+    /// Whether this member should hold the lease.
     pub fn wanted(&self) -> bool {
         self.wanted
     }
 
-    /// Whether the task may be performed here now.
+    /// Whether this member may perform the task at `now`.
     pub fn is_held(&self, now: Time) -> bool {
         self.state == LeaseState::Held && now < self.usable_until
     }
 
-    /// This member should hold the lease, or should not any longer. `vacant`: no other member holds it any more, so it is
-    /// requested at once.
+    /// Sets whether this member should hold the lease. `vacant` means that no other member holds it any more,
+    /// so that it is claimed immediately.
     pub fn set_wanted(
         &mut self,
         now: Time,
@@ -174,7 +176,8 @@
         self.wanted = wanted;
         match self.state {
             LeaseState::Idle if wanted => {
-                // Members that notice the same loss at the same time do not all send requests at the same moment.
+                // A random delay keeps members that notice the same loss at the same time from sending their
+                // requests at the same moment.
                 let jitter = if vacant {
                     0
                 } else {
@@ -183,7 +186,7 @@
                 self.next_action_at = self.next_action_at.min(now + jitter);
             }
             LeaseState::Claiming if !wanted => self.become_idle(Time::MAX),
-            // What was rejected so far was rejected while another member still held it.
+            // Earlier rejections date from when another member still held the lease.
             LeaseState::Claiming if vacant => self.become_idle(now),
             LeaseState::Held if !wanted => {
                 self.state = LeaseState::Stopping;
@@ -200,7 +203,7 @@
         self.next_action_at = next_action_at;
     }
 
-    /// Idle; requested anew after a pause and some jitter, where it is wanted.
+    /// Returns to `Idle`. If the lease is wanted, it is claimed again after the pause and a random delay.
     fn retry_after(
         &mut self,
         now: Time,
@@ -212,7 +215,7 @@
         self.become_idle(if self.wanted { now + pause } else { Time::MAX });
     }
 
-    /// The request failed: requested anew when the other member's lease may have expired.
+    /// The claim failed. It is repeated when the other member's lease may have expired.
     fn claim_failed(&mut self, now: Time, config: &LeaseConfig, actions: &mut impl LeaseActions) {
         let remaining = self.held_elsewhere_until.saturating_sub(now);
         self.retry_after(now, config, actions, remaining.min(config.usable_duration));
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Does what is due at `next_action_at`.
+    /// Performs the action that is due at `next_action_at`.
     pub fn timer_fired(
         &mut self,
         now: Time,
@@ -242,7 +245,7 @@
         match self.state {
             LeaseState::Idle if self.wanted => self.claim(now, config, actions),
             LeaseState::Idle => self.next_action_at = Time::MAX,
-            // What was not answered by now was lost, or its grantor is down.
+            // A request without a reply by this time was lost, or its grantor is down.
             LeaseState::Claiming if now >= self.requested_at + config.usable_duration / 2 => {
                 self.claim_failed(now, config, actions);
             }
@@ -255,12 +258,12 @@
             }
             LeaseState::Held if now >= self.usable_until => self.lose(now, config, actions),
             LeaseState::Held => self.renew(now, config, actions),
-            // Repeated, as the channel may have been full the first time.
+            // The notice is repeated because the channel may have been full the first time.
             LeaseState::Stopping if now < self.usable_until => {
                 actions.lease_lost(self.task, self.epoch);
                 self.next_action_at = (now + config.retry).min(self.usable_until);
             }
-            // No confirmation that the task stopped, but the lease has run out all the same.
+            // There is no confirmation that the task stopped, but the lease has expired anyway.
             LeaseState::Stopping => self.retry_after(now, config, actions, 0),
         }
     }
@@ -279,7 +282,8 @@
     }
 
     fn renew(&mut self, now: Time, config: &LeaseConfig, actions: &mut impl LeaseActions) {
-        // Each request has a tag of its own: a reply to an earlier one says nothing of this one's time.
+        // Each request has its own tag: a reply to an earlier request does not extend the lease from the time
+        // of this one.
         self.last_tag = self.last_tag.wrapping_add(1);
         self.renewals.request_sent(now, self.last_tag);
         (0..config.grantors)
@@ -288,7 +292,7 @@
         self.retry_pause *= 2;
     }
 
-    /// Notes a ballot that was reported. False where it is too far ahead to be genuine.
+    /// Records a reported ballot. Returns false if the ballot is too far ahead to be genuine.
     fn ballot_seen(&mut self, ballot: u64) -> bool {
         let plausible = is_plausible_after(ballot, self.highest_ballot_seen);
         if plausible {
@@ -297,7 +301,7 @@
         plausible
     }
 
-    /// A grantor replied to a phase 1 request.
+    /// Handles a grantor's reply to a phase 1 request.
     pub fn prepare_replied(
         &mut self,
         now: Time,
@@ -342,7 +346,7 @@
             reply.state,
         );
         if transport.accept_sent {
-            // The lease counts from here: no grantor has seen a request for it before.
+            // The lease runs from this moment: no grantor has seen a phase 2 request for it before.
             self.requested_at = now;
         }
         self.round = Some(round);
@@ -358,7 +362,7 @@
         }
     }
 
-    /// A majority granted the request: held under a new epoch.
+    /// A majority granted the claim: the lease is held under a new epoch.
     fn granted(&mut self, epoch: u64) {
         self.state = LeaseState::Held;
         self.round = None;
@@ -368,7 +372,8 @@
         self.renewals = PendingRenewals::default();
     }
 
-    /// A majority granted what was requested at that time: usable for longer, and renewed in time.
+    /// A majority granted the request that was sent at `requested_at`: extends the usable time and schedules
+    /// the next renewal.
     fn extend(
         &mut self,
         now: Time,
@@ -384,10 +389,11 @@
         };
         self.usable_until = self.usable_until.max(start + usable);
         self.retry_pause = config.retry;
-        // Renewals of many tasks spread over some time.
+        // Spreads the renewals of many tasks over time.
         let spread = actions.random_below(usable / (2 * RENEWALS_PER_DURATION) + 1);
         let renew_at = self.usable_until - usable + usable / RENEWALS_PER_DURATION + spread;
-        // Those due soon after each other go together, in few datagrams; members differ by their offset.
+        // Renewals due shortly after one another are sent together, in few datagrams. The offset makes
+        // members differ.
         let batch_interval = (usable / (8 * RENEWALS_PER_DURATION)).max(1);
         let renew_at = renew_at - (renew_at + config.offset) % batch_interval;
         self.next_action_at = renew_at.max(now + 1).min(self.usable_until);
@@ -396,7 +402,7 @@
         }
     }
 
-    /// A grantor replied to a phase 2 request or a renewal.
+    /// Handles a grantor's reply to a phase 2 request or a renewal.
     pub fn accept_replied(
         &mut self,
         now: Time,
@@ -427,7 +433,8 @@
                     RenewalOutcome::Granted { sent_at } => {
                         self.extend(now, config, actions, sent_at);
                     }
-                    // Grantors lost their memory, or another member holds a newer epoch: a new claim is needed.
+                    // Grantors lost their state, or another member holds a newer epoch: a new claim is
+                    // needed.
                     RenewalOutcome::Rejected => self.lose(now, config, actions),
                 }
             }
@@ -435,7 +442,7 @@
         }
     }
 
-    /// Nobody here performs the task under that epoch any more. Whether the lease was given back by it.
+    /// This member no longer performs the task under that epoch. Returns whether this released the lease.
     pub fn execution_stopped(
         &mut self,
         now: Time,
@@ -451,7 +458,7 @@
         released
     }
 
-    /// A worker has seen a newer epoch: grantors that lost their memory granted an old one.
+    /// A worker has seen a newer epoch, so the grantors that granted this one had lost their state.
     pub fn higher_epoch_seen(
         &mut self,
         now: Time,
@@ -459,7 +466,8 @@
         actions: &mut impl LeaseActions,
         epoch: u64,
     ) {
-        // It may be known already, from a grantor that promised it to another member: it is compared with the epoch held.
+        // The ballot may be known already from a grantor that promised it to another member, so it is
+        // compared with the epoch held.
         if self.ballot_seen(epoch) && self.state == LeaseState::Held && epoch > self.epoch {
             self.lose(now, config, actions);
         }
--- a/crates/tidewall-lease/src/lib.rs
+++ b/crates/tidewall-lease/src/lib.rs
@@ -1,13 +1,15 @@
-//! Leases granted by a majority, without I/O and without a clock.
+//! Leases granted by a majority of grantors. This crate does no I/O and reads no clock.
 //!
-//! A task (a unit of work that at most one gateway may perform at a time) is leased to one member. The member acts as a
-//! Paxos proposer ([`proposer`]): it gets the promise of a majority of grantors for its ballot, then has the same or another
-//! majority accept its lease ([`grantor`], on [`acceptor`]). Until the lease expires, grantors promise nothing to others,
-//! and the holder renews by having the same lease accepted again ([`lease`]; [`holder`] for all tasks of a member). The
-//! ballot of the lease is its epoch, a fencing token: workers reject effects of an older epoch than one they have seen.
-//! [`assignment`] says which member should request which task.
+//! A task is a unit of work that at most one gateway may perform at a time; it is leased to one member. To
+//! get a lease, the member acts as a Paxos proposer ([`proposer`]): a majority of grantors promises its
+//! ballot, then the same or another majority accepts its lease ([`grantor`], which is built on [`acceptor`]).
+//! Until the lease expires, its grantors make no promise to other members. The holder renews the lease by
+//! having it accepted again ([`lease`]; [`holder`] manages all tasks of a member). The ballot of the lease is
+//! its epoch and serves as a fencing token: a worker rejects effects whose epoch is lower than one it has
+//! seen. [`assignment`] determines which member should request which task.
 //!
-//! Failover of a pair of gateways uses [`proposer`] and [`acceptor`] alone, with its own rule of what may be proposed.
+//! Failover of a pair of gateways uses only [`proposer`] and [`acceptor`], with its own rule for what may be
+//! proposed.
 pub mod acceptor;
 pub mod assignment;
 pub mod ballot;
@@ -19,19 +21,22 @@
 pub mod proposer;
 mod renewal;
 
-/// A time or duration in whole tenths of a millisecond, by a monotonic clock.
+/// A time or duration in whole tenths of a millisecond, measured by a monotonic clock.
 pub type Time = u64;
 
-/// Protections of the protocol. All are on in service; each can be left out to show which test notices it.
+/// Safety checks of the protocol. All are enabled in production. Tests disable them one at a time to show
+/// that the resulting violation is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SafetyChecks {
-    /// A grantor answers nothing for one lease duration after its start, as it forgot what it granted before.
+    /// A grantor answers no request for one lease duration after its start, because it has lost the record of
+    /// what it granted before.
     pub silent_start: bool,
-    /// A holder uses less than the lease duration, by what clocks may differ and by the age that a permit may reach.
+    /// A holder uses a lease for less than the lease duration: the difference allows for clock error and for
+    /// the maximum age of a permit.
     pub shortened_lease: bool,
-    /// A lease counts from when it was requested, not from when the reply arrived.
+    /// The lease runs from the time its request was sent, not from the time the reply arrived.
     pub counts_from_request: bool,
-    /// Of one grantor a single reply counts for each request.
+    /// Only one reply of each grantor counts per request.
     pub one_vote_per_grantor: bool,
     /// A datagram that was received before is rejected.
     pub replay_protection: bool,
--- a/crates/tidewall-lease/src/proposer.rs
+++ b/crates/tidewall-lease/src/proposer.rs
@@ -1,24 +1,27 @@
-//! One Paxos proposer (Lamport, "Paxos Made Simple", 2001). Phase 1 (prepare): acceptors promise to reject lower ballots and
-//! report the value that they accepted last. Phase 2 (accept): they accept the proposed value. Two majorities share an
-//! acceptor, so whoever proposes next learns of any value that might have been granted before. What may be proposed in
-//! view of it is decided by a [`ProposalRule`]: failover of a pair and the fleet's leases differ there alone.
+//! A Paxos proposer (Lamport, "Paxos Made Simple", 2001). In phase 1 (prepare), acceptors promise to reject
+//! lower ballots and report the value that they last accepted. In phase 2 (accept), they accept the proposed
+//! value. Any two majorities share an acceptor, so the next proposer learns of every value that may have been
+//! chosen before. A [`ProposalRule`] decides what may be proposed given that value; it is the only difference
+//! between the failover of a pair and the fleet's leases.
 //!
-//! Without I/O: requests go out through a [`ProposerTransport`], replies come in by [`ProposerRound::reply_received`].
+//! This module does no I/O: requests are sent through a [`ProposerTransport`], and replies are passed to
+//! [`ProposerRound::reply_received`].
 use crate::acceptor::{AcceptorState, BallotedValue};
 
 /// Sends requests to acceptors, which are numbered from 0.
 pub trait ProposerTransport<V> {
-    /// Phase 1 request.
+    /// Sends a phase 1 request.
     fn prepare(&mut self, acceptor: usize, ballot: u64);
-    /// Phase 2 request; the ballot is the value's epoch.
+    /// Sends a phase 2 request. Its ballot is the value's epoch.
     fn accept(&mut self, acceptor: usize, value: V);
 }
 
-/// Decides what is proposed.
+/// Decides which value is proposed.
 pub trait ProposalRule<V> {
-    /// Why nothing may be proposed.
+    /// The reason why no value may be proposed.
     type Rejection;
-    /// The value to propose under this ballot, given the newest value that a majority may have accepted before.
+    /// Returns the value to propose under this ballot, given the newest value that a majority may have
+    /// accepted before.
     fn propose(&mut self, ballot: u64, accepted: Option<V>) -> Result<V, Self::Rejection>;
 }
 
@@ -27,13 +30,13 @@
 pub enum RoundOutcome<V, R> {
     /// A majority accepted this value.
     Granted(V),
-    /// The rule allows no proposal, whatever the acceptors that did not reply yet may report.
+    /// The rule allows no proposal, whatever the remaining acceptors may report.
     Rejected(R),
     /// Too many acceptors rejected the ballot or could not be reached.
     NoMajority,
 }
 
-/// Which of the two requests a reply answers.
+/// The phase of the request that a reply answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalPhase {
     /// Phase 1, a request for a promise.
@@ -51,20 +54,22 @@
     pub phase: ProposalPhase,
 }
 
-/// What an acceptor replied to the request that is under way.
+/// An acceptor's reply to the current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Vote<V> {
     Pending,
     Granted(AcceptorState<V>),
-    /// Rejected by the acceptor, or it could not be reached.
+    /// The acceptor rejected the request or could not be reached.
     Rejected,
 }
 
-/// So often a round starts over at once with a higher ballot. A proposer that just started knows no ballots and needs to do so
-/// once or twice; one that is outbid time and again makes way for its competitor, or neither would succeed.
+/// How often a round restarts immediately with a higher ballot. A proposer that just started knows no ballots
+/// and has to restart once or twice. A proposer that is preempted repeatedly yields to its competitor;
+/// otherwise neither would succeed.
 const MAX_RESTARTS_AFTER_HIGHER_BALLOT: u32 = 3;
 
-/// The lower bits of a ballot, by which its user differs from all others and from its own former incarnations.
+/// The lower bits of a ballot. They distinguish its owner from all other owners and from its own previous
+/// incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BallotOwner {
     bits: u32,
@@ -72,7 +77,8 @@
 }
 
 impl BallotOwner {
-    /// `bits` (below 64) are the lower bits of a ballot that belong to its owner; of `value` only these are used.
+    /// `bits` (below 64) is the number of low bits of a ballot that identify its owner. Only that many bits
+    /// of `value` are used.
     pub fn new(bits: u32, value: u64) -> BallotOwner {
         BallotOwner {
             bits,
@@ -80,12 +86,12 @@
         }
     }
 
-    /// The owner's ballot with that count.
+    /// The owner's ballot with the given count.
     pub fn ballot(self, count: u64) -> u64 {
         count << self.bits | self.value
     }
 
-    /// The owner's lowest ballot above all others with the count of `ballot`.
+    /// The owner's lowest ballot whose count exceeds that of `ballot`.
     fn next_after(self, ballot: u64) -> u64 {
         self.ballot((ballot >> self.bits) + 1)
     }
@@ -103,18 +109,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerRound<V> {
     owner: BallotOwner,
-    /// By acceptor: its reply to the request that is under way.
+    /// Indexed by acceptor: its reply to the current request.
     votes: Vec<Vote<V>>,
     state: RoundState<V>,
     /// The current ballot; 0 before the first round.
     ballot: u64,
     highest_ballot_seen: u64,
-    /// How often this round started over after a higher ballot was seen.
+    /// How often this round restarted after a higher ballot was seen.
     restarts: u32,
 }
 
 impl<V: BallotedValue> ProposerRound<V> {
-    /// An idle proposer before that many acceptors.
+    /// Creates an idle proposer for the given number of acceptors.
     pub fn new(owner: BallotOwner, acceptors: usize) -> ProposerRound<V> {
         ProposerRound {
             owner,
@@ -126,12 +132,12 @@
         }
     }
 
-    /// Whether a round is under way.
+    /// Whether a round is in progress.
     pub fn in_progress(&self) -> bool {
         self.state != RoundState::Idle
     }
 
-    /// Abandons the round; replies to it are ignored.
+    /// Abandons the round. Replies to it are ignored.
     pub fn stop(&mut self) {
         self.state = RoundState::Idle;
     }
@@ -141,7 +147,7 @@
         self.ballot
     }
 
-    /// The next round uses a ballot above this one as well.
+    /// Records a ballot; the next round uses a higher one.
     pub fn ballot_seen(&mut self, ballot: u64) {
         self.highest_ballot_seen = self.highest_ballot_seen.max(ballot);
     }
@@ -150,14 +156,15 @@
         self.votes.len() / 2 + 1
     }
 
-    /// Starts a round; one that is under way is abandoned.
+    /// Starts a round and abandons any round in progress.
     pub fn begin(&mut self, transport: &mut impl ProposerTransport<V>) {
         self.restarts = 0;
         self.send_prepare(transport);
     }
 
     fn send_prepare(&mut self, transport: &mut impl ProposerTransport<V>) {
-        // Its owner bits make the ballot this incarnation's own: requests of a former one may still be on their way.
+        // The owner bits make the ballot unique to this incarnation: requests of a previous incarnation may
+        // still be in flight.
         self.ballot = self
             .owner
             .next_after(self.highest_ballot_seen.max(self.ballot));
@@ -166,7 +173,8 @@
         (0..self.votes.len()).for_each(|acceptor| transport.prepare(acceptor, self.ballot));
     }
 
-    /// Sends the request once more to each acceptor that did not reply: the request or its reply may be lost.
+    /// Sends the request again to each acceptor that has not replied, because the request or its reply may be
+    /// lost.
     pub fn retransmit(&self, transport: &mut impl ProposerTransport<V>) {
         let pending = self.votes.iter().enumerate();
         for (acceptor, _) in pending.filter(|(_, vote)| **vote == Vote::Pending) {
@@ -178,7 +186,8 @@
         }
     }
 
-    /// An acceptor's reply: whether it granted the request, and its state. Gives the outcome where the round ended by it.
+    /// Handles an acceptor's reply: whether it granted the request, and its state. Returns the outcome if
+    /// this reply ended the round.
     #[must_use]
     pub fn reply_received<R: ProposalRule<V>>(
         &mut self,
@@ -198,7 +207,8 @@
         self.vote(transport, rule, acceptor, reply_to, vote)
     }
 
-    /// An acceptor cannot be reached, or did not reply. Gives the outcome where the round ended by it.
+    /// Records that an acceptor could not be reached or did not reply. Returns the outcome if this ended the
+    /// round.
     #[must_use]
     pub fn reply_missing<R: ProposalRule<V>>(
         &mut self,
@@ -210,7 +220,7 @@
         self.vote(transport, rule, acceptor, reply_to, Vote::Rejected)
     }
 
-    /// Notes a vote, unless it answers an earlier request.
+    /// Records a vote unless it answers an earlier request.
     fn vote<R: ProposalRule<V>>(
         &mut self,
         transport: &mut impl ProposerTransport<V>,
@@ -254,7 +264,7 @@
                 self.send_accept(transport, value);
                 None
             }
-            // Replies that are still to come could change what may have been chosen.
+            // Outstanding replies could change which value may have been chosen.
             Err(_) if pending > 0 => None,
             Err(rejection) => {
                 self.stop();
@@ -267,8 +277,8 @@
         &mut self,
         transport: &mut impl ProposerTransport<V>,
     ) -> Option<RoundOutcome<V, R>> {
-        let outbid = self.highest_ballot_seen > self.ballot;
-        if outbid && self.restarts < MAX_RESTARTS_AFTER_HIGHER_BALLOT {
+        let preempted = self.highest_ballot_seen > self.ballot;
+        if preempted && self.restarts < MAX_RESTARTS_AFTER_HIGHER_BALLOT {
             self.restarts += 1;
             self.send_prepare(transport);
             return None;
@@ -283,8 +293,8 @@
         (0..self.votes.len()).for_each(|acceptor| transport.accept(acceptor, value));
     }
 
-    /// The newest value that a majority may have accepted. An acceptor that by now has accepted a newer value, or did not
-    /// reply, may have accepted it.
+    /// The newest value that a majority may have accepted. An acceptor may have accepted the value without
+    /// reporting it if it has since accepted a newer one or has not reported its state.
     fn possibly_chosen(&self) -> Option<V> {
         let reported = || {
             self.votes.iter().filter_map(|vote| match vote {
--- a/crates/tidewall-lease/src/renewal.rs
+++ b/crates/tidewall-lease/src/renewal.rs
@@ -1,44 +1,46 @@
-//! Renewal requests of one lease whose replies may still arrive. A reply says something of its own request's time alone, so
-//! each request has a tag, its own time and its own votes.
+//! Renewal requests of one lease whose replies may still arrive. A reply extends the lease only from the time
+//! its own request was sent, so each request has its own tag, send time and votes.
 use crate::lease::MAX_GRANTORS;
 use crate::{SafetyChecks, Time};
 
-/// Requests remembered at most. Each waits twice as long as the one before, so that a slow link carries few of them and
-/// replies still find their request: five cover all of a lease's time from a sixteenth of it on.
+/// The number of requests that are remembered. The pause between requests doubles each time, so few of them
+/// are in flight even on a slow link, and a late reply still finds its request: starting at a sixteenth of
+/// the usable duration, five requests cover the whole lease.
 const MAX_PENDING_RENEWALS: usize = 5;
 
-// A set of grantors is one `u64`.
+// A set of grantors is stored as one `u64`.
 const _: () = assert!(MAX_GRANTORS < u64::BITS as usize);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct RenewalRequest {
-    /// 0: no request.
+    /// 0 if the entry is unused.
     tag: u32,
     sent_at: Time,
-    /// Sets of grantors, one bit each.
+    /// Sets of grantors, one bit per grantor.
     granted: u64,
     rejected: u64,
-    /// Counts replies, not grantors: only used where `one_vote_per_grantor` is off.
+    /// Number of replies, regardless of the grantor. Only used if `one_vote_per_grantor` is off.
     granted_replies: u32,
 }
 
-/// What a reply made of its request.
+/// What a reply decided about its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RenewalOutcome {
-    /// No majority either way yet, or none any more.
+    /// No majority has granted or rejected the request yet, the request was already granted, or it is not
+    /// remembered any more.
     Undecided,
-    /// This reply made the majority: the lease counts from when the request was sent.
+    /// This reply completed the majority. The lease runs from the time the request was sent.
     Granted { sent_at: Time },
-    /// A majority rejected it.
+    /// A majority rejected the request.
     Rejected,
 }
 
-/// The latest requests, the last one first.
+/// The latest requests, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingRenewals([RenewalRequest; MAX_PENDING_RENEWALS]);
 
 impl PendingRenewals {
-    /// Remembers a request; the oldest one makes room.
+    /// Remembers a request and forgets the oldest one.
     pub(crate) fn request_sent(&mut self, now: Time, tag: u32) {
         self.0.rotate_right(1);
         self.0[0] = RenewalRequest {
@@ -48,7 +50,7 @@
         };
     }
 
-    /// A grantor's reply to the request of that tag.
+    /// Counts a grantor's reply to the request with that tag.
     pub(crate) fn reply_received(
         &mut self,
         tag: u32,
--- a/crates/tidewall-lease/tests/explore/deliver.rs
+++ b/crates/tidewall-lease/tests/explore/deliver.rs
@@ -1,4 +1,4 @@
-//! What a message does to its receiver.
+//! Delivers messages to their receivers.
 use crate::scenario::{Scenario, LEASE_DURATION, PERMIT_MAX_AGE};
 use crate::world::{LatestEffect, Message, ReportedState, World};
 use tidewall_lease::grantor::{Grant, GrantorReply, GrantorSlot, LeaseOwner};
@@ -6,8 +6,8 @@
 use tidewall_lease::Time;
 
 impl Scenario {
-    /// The world after the message was received; the message is still among those on their way. `None` where the receiver
-    /// does not take it now.
+    /// The world after the message was received; the message itself is still in flight. `None` if the
+    /// receiver does not accept it at this time.
     pub fn delivered(&self, world: &World, message: Message) -> Option<World> {
         match message {
             Message::Release { grantor, epoch } => {
@@ -163,15 +163,16 @@
         if !in_time {
             return;
         }
-        // What one incarnation sent under its own earlier epoch overlaps nobody else's.
+        // Effects that one incarnation sent under its own earlier epoch do not overlap with those of another
+        // holder.
         let same_sender =
             effect.member == world.latest.member && effect.incarnation == world.latest.incarnation;
         if effect.epoch < world.latest.epoch && !same_sender && !self.first_clock_beyond_bound {
-            world.violation = Some("an act came after another holder's");
+            world.violation = Some("an effect arrived after a newer effect of another holder");
         }
         if !self.worker_fences || effect.epoch >= world.effective_epoch {
             if effect.epoch < world.effective_epoch {
-                world.violation = Some("an act under an older epoch took effect");
+                world.violation = Some("an effect under an older epoch took place");
             }
             world.effective_epoch = world.effective_epoch.max(effect.epoch);
         }
--- a/crates/tidewall-lease/tests/explore/scenario.rs
+++ b/crates/tidewall-lease/tests/explore/scenario.rs
@@ -1,4 +1,4 @@
-//! What may happen in one exploration, and the search over all orders of it.
+//! The events allowed in one exploration, and the search over all their orders.
 use crate::world::{Grantor, LatestEffect, Member, Message, Outbox, World, GRANTORS};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
@@ -8,12 +8,13 @@
 use tidewall_lease::lease::{Lease, LeaseConfig, LeaseState};
 use tidewall_lease::{SafetyChecks, Time};
 
-/// A tick of true time is 4 of a slow clock and 6 of a fast one: a bound of a fifth.
+/// A tick of true time is 4 units of a slow clock and 6 of a fast one, which is a clock error bound of a
+/// fifth.
 const SLOW_RATE: Time = 4;
 const FAST_RATE: Time = 6;
 const CLOCK_ERROR_PPM: u64 = 200_000;
 pub const LEASE_DURATION: Time = 24;
-/// How old a worker lets a permit become, by its own clock.
+/// The age at which a worker rejects a permit, by its own clock.
 pub const PERMIT_MAX_AGE: Time = 4;
 
 /// How often each kind of event may still happen.
@@ -28,7 +29,7 @@
     pub releases: u8,
 }
 
-pub const NOTHING: Budget = Budget {
+pub const EMPTY_BUDGET: Budget = Budget {
     restarts: 0,
     pauses: 0,
     effects: 0,
@@ -46,12 +47,12 @@
     pub fast_member_clocks: [bool; 2],
     pub fast_grantor_clocks: bool,
     pub fast_worker_clock: bool,
-    /// The first member's clock hardly moves.
+    /// The first member's clock is slower than the error bound allows: it advances one unit in four ticks.
     pub first_clock_beyond_bound: bool,
     pub budget: Budget,
     pub members: usize,
     pub ticks: Time,
-    /// By member: which grantors it reaches; what it sends to others is lost.
+    /// Indexed by member: which grantors it reaches. Messages to other grantors are lost.
     pub reachable: [[bool; GRANTORS]; 2],
 }
 
@@ -65,7 +66,8 @@
 
 pub const ALL_REACHABLE: [[bool; GRANTORS]; 2] = [[true; GRANTORS]; 2];
 
-/// Holders' clocks slow and grantors' fast is the worst for a lease; for the worker's clock it is the other way round.
+/// A slow clock of the holder and fast clocks of the grantors are the worst case for a lease. The worker's
+/// clock is the opposite of the grantors'.
 pub const WORST_CLOCKS: Scenario = Scenario {
     safety_checks: ALL_SAFETY_CHECKS,
     worker_fences: true,
@@ -76,14 +78,14 @@
     budget: Budget {
         effects: 1,
         claims: 1,
-        ..NOTHING
+        ..EMPTY_BUDGET
     },
     members: 2,
     ticks: 7,
     reachable: [[true, true, false], [false, true, true]],
 };
 
-/// How far an exploration got.
+/// The extent and the result of an exploration.
 pub struct Exploration {
     states: usize,
     depth: usize,
@@ -137,7 +139,7 @@
         at * rate(self.fast_worker_clock)
     }
 
-    /// Nothing was requested yet.
+    /// The state before any request.
     pub fn initial(&self) -> World {
         World {
             at: 0,
@@ -152,7 +154,8 @@
         }
     }
 
-    /// The first member was granted the task by two grantors; what it sent to the third is still on its way.
+    /// The state in which two grantors granted the task to the first member, while its messages to the third
+    /// are still in flight.
     pub fn first_member_granted(&self) -> World {
         let mut world = self.initial();
         let (config, mut lease) = (self.config(0, 1), Lease::new(0));
@@ -172,11 +175,16 @@
         };
         while world.members[0].lease.state != LeaseState::Held {
             let mut deliverable = world.in_flight.iter().filter(|message| !to_third(message));
-            let message = *deliverable.next().expect("something is on its way");
-            let mut next = self.delivered(&world, message).expect("it is received");
+            let message = *deliverable
+                .next()
+                .expect("a message to the first two grantors is in flight");
+            let mut next = self
+                .delivered(&world, message)
+                .expect("the receiver accepts the message");
             let mut in_flight = next.in_flight.iter();
             let position = in_flight.position(|other| *other == message);
-            next.in_flight.remove(position.expect("it was there"));
+            next.in_flight
+                .remove(position.expect("the delivered message is still in flight"));
             world = next;
         }
         let lost = !self.reachable[0][2];
@@ -186,7 +194,8 @@
         world
     }
 
-    /// Visits all states to that depth, unless more than `max_states` are met before; ends at the first violation.
+    /// Visits all states up to `max_depth`, unless more than `max_states` are visited first. Stops at the
+    /// first violation.
     pub fn explore(&self, from: World, max_depth: usize, max_states: usize) -> Exploration {
         let mut visited: HashSet<u64, BuildHasherDefault<DefaultHasher>> = HashSet::default();
         let mut frontier = vec![from];
--- a/crates/tidewall-lease/tests/explore/step.rs
+++ b/crates/tidewall-lease/tests/explore/step.rs
@@ -1,11 +1,11 @@
-//! All events that can happen next in a world.
+//! Generates all events that can happen next in a world.
 use crate::scenario::{Scenario, LEASE_DURATION};
 use crate::world::{Grantor, Member, Message, Outbox, World, GRANTORS};
 use tidewall_lease::lease::{Lease, LeaseConfig, LeaseState};
 use tidewall_lease::Time;
 
 impl Scenario {
-    /// All worlds that one event leads to.
+    /// All worlds that result from one event.
     pub fn next(&self, world: &World) -> Vec<World> {
         let mut successors = Vec::new();
         if world.at < self.ticks {
@@ -39,7 +39,7 @@
         successors
     }
 
-    /// A member requests, renews or releases the lease, sends an effect, or restarts.
+    /// The events of a member: it claims, renews or releases the lease, sends an effect, or restarts.
     fn member_events(&self, world: &World, member: usize, successors: &mut Vec<World>) {
         let now = self.member_clock(member, world.at);
         let lease = &world.members[member].lease;
@@ -79,7 +79,8 @@
         }
     }
 
-    /// It requested a permit just now; the effect leaves at once, or the member is paused before it does.
+    /// The member sends an effect under a permit issued at this moment. The effect is sent at once, or the
+    /// member is paused first.
     fn effect_sent(&self, world: &World, member: usize, successors: &mut Vec<World>) {
         let mut next = world.clone();
         next.budget.effects -= 1;
@@ -99,7 +100,7 @@
         successors.push(next);
     }
 
-    /// A grantor restarts without its memory.
+    /// A grantor restarts and loses its state.
     fn grantor_restarted(&self, world: &World, grantor: usize) -> World {
         let mut next = world.clone();
         next.budget.restarts -= 1;
@@ -112,7 +113,7 @@
         next
     }
 
-    /// Each message on its way is received, once or with another copy to come.
+    /// Delivers each message in flight, either for the last time or with another copy still to come.
     fn deliveries(&self, world: &World, successors: &mut Vec<World>) {
         for (position, message) in world.in_flight.iter().enumerate() {
             if world.in_flight[..position].contains(message) {
@@ -153,8 +154,8 @@
         world.members[member].lease.is_held(now)
     }
 
-    /// At most one member holds the lease. A paused member does not count: it has checked before, and that check is voided by
-    /// the age of its permit, not by its clock.
+    /// Checks that at most one member holds the lease. A paused member does not count: its check happened
+    /// before the pause, and the worker voids it by the age of the permit, not by the member's clock.
     fn check(&self, world: &mut World) {
         if self.first_clock_beyond_bound {
             return;
@@ -162,7 +163,7 @@
         let holders = (0..self.members)
             .filter(|member| world.paused != Some(*member) && self.holds(world, *member));
         if holders.count() > 1 {
-            world.violation = Some("two may act at once");
+            world.violation = Some("two members hold the lease at once");
         }
     }
 }
--- a/crates/tidewall-lease/tests/explore/world.rs
+++ b/crates/tidewall-lease/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! The state that is explored: grantors, members, messages on their way, and what the worker has seen.
+//! The explored state: grantors, members, messages in flight, and what the worker has seen.
 use crate::scenario::Budget;
 use tidewall_lease::grantor::{Grant, GrantorReply, GrantorSlot};
 use tidewall_lease::lease::{Lease, LeaseActions};
@@ -6,8 +6,8 @@
 
 pub const GRANTORS: usize = 3;
 
-/// A grantor's state as it reports it. How long others are kept away is left out: it only says when a new request is of
-/// use, and here whoever may send one does so at any time.
+/// A grantor's state as it reports it. The remaining time of the lease is left out: it only tells when a new
+/// request is useful, and in this model a member that may send a request does so at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReportedState {
     promised: u64,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A message on its way. `incarnation` is that of the member that sent the request.
+/// A message in flight. `incarnation` is that of the member that sent the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
     Prepare {
@@ -81,7 +81,7 @@
         granted: bool,
         state: ReportedState,
     },
-    /// An effect on its way to the worker, with the worker's time at which its permit was given out.
+    /// An effect in flight to the worker. `permit` is the worker's time at which the permit was issued.
     Effect {
         epoch: u64,
         member: usize,
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grantor {
     pub slot: GrantorSlot,
-    /// By its clock: it answers nothing before.
+    /// The grantor answers no request before this time of its own clock.
     pub silent_until: Time,
 }
 
@@ -135,18 +135,19 @@
     pub at: Time,
     pub grantors: Vec<Grantor>,
     pub members: Vec<Member>,
-    /// A paused member does nothing; what it had checked before the pause is on its way when it resumes.
+    /// The paused member, if any. It does nothing; an effect that it checked before the pause is in flight
+    /// when it resumes.
     pub paused: Option<usize>,
     pub in_flight: Vec<Message>,
-    /// The highest epoch that took effect at the worker.
+    /// The highest epoch under which an effect took place at the worker.
     pub effective_epoch: u64,
     pub latest: LatestEffect,
-    /// What may still happen.
+    /// The events that may still happen.
     pub budget: Budget,
     pub violation: Option<&'static str>,
 }
 
-/// Puts what a member sends among the messages on their way.
+/// Adds the messages that a member sends to those in flight.
 pub struct Outbox<'a> {
     pub in_flight: &'a mut Vec<Message>,
     pub from: usize,
--- a/crates/tidewall-lease/tests/lease.rs
+++ b/crates/tidewall-lease/tests/lease.rs
@@ -1,4 +1,5 @@
-//! One lease step by step: what is requested when, and what a worker's newer epoch does.
+//! Steps through a single lease: when requests are sent, and how the lease reacts to a newer epoch seen by a
+//! worker.
 use test_case::test_case;
 use tidewall_lease::ballot::ballot;
 use tidewall_lease::grantor::{Grant, GrantorReply, GrantorSlot};
@@ -66,7 +67,7 @@
     }
 }
 
-/// A majority grants the request at that time.
+/// A majority grants the request at time `now`.
 fn accept_by_majority(
     lease: &mut Lease,
     actions: &mut RecordedActions,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Requested at 0; a majority replied to phase 1 at 10, to phase 2 at 20.
+/// Returns a lease requested at 0. A majority replied to phase 1 at 10 and to phase 2 at 20.
 fn held_lease() -> (Lease, RecordedActions) {
     let (mut lease, mut actions) = (Lease::new(0), RecordedActions::default());
     lease.set_wanted(0, &CONFIG, &mut actions, true, true);
@@ -113,7 +114,8 @@
     assert!(lease.is_held(1_609) && !lease.is_held(1_610));
 }
 
-/// Replies to a request that another one followed count from their own request's time.
+/// Replies to a renewal that was followed by another one extend the lease from the send time of their own
+/// request.
 #[test]
 fn a_late_reply_to_an_earlier_renewal_counts() {
     let (mut lease, mut actions) = held_lease();
@@ -130,8 +132,9 @@
     );
 }
 
-/// A worker saw a newer epoch than the one held, which this lease may know already (a grantor had promised it to another
-/// member): five processes killed at once left one task of sixteen with a holder whose every effect was rejected, for good.
+/// A worker saw a newer epoch than the one held. The lease may know that epoch already, from a grantor that
+/// promised it to another member. After five processes were killed at once, one task of sixteen had a holder
+/// whose every effect was rejected, permanently.
 #[test_case(false; "not known before")]
 #[test_case(true; "known before")]
 fn a_claim_is_above_an_epoch_that_a_worker_has_seen(known_before: bool) {
@@ -159,7 +162,7 @@
     let due = lease.next_action_at;
     lease.timer_fired(due, &CONFIG, &mut actions);
     assert!(actions.prepared_ballots[0] > newer);
-    // A late report of the epoch that is held changes nothing.
+    // A late report of the epoch that is held has no effect.
     let (mut lease, mut actions) = held_lease();
     lease.higher_epoch_seen(50, &CONFIG, &mut actions, held);
     assert_eq!(
