--- a/crates/tidewall-coordination/src/codec/error.rs
+++ b/crates/tidewall-coordination/src/codec/error.rs
@@ -1,54 +1,54 @@
-//! Why datagrams are rejected.
+//! The reasons for rejecting datagrams.
 
-/// Why a datagram is rejected. The texts appear in the log and in the operators' pages.
+/// The reason why a datagram is rejected. The texts appear in the log and in the operator documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// Longer than `MAX_DATAGRAM`.
+    /// The datagram is longer than `MAX_DATAGRAM`.
     #[error("length: over 256")]
     TooLong,
-    /// Too short to hold a key id and an HMAC.
+    /// The datagram is too short for a key id and an HMAC.
     #[error("length: cut short")]
     TooShort,
-    /// Sealed with an unknown key.
+    /// The datagram is sealed with an unknown key.
     #[error("key: unknown")]
     UnknownKey,
     /// The HMAC does not match.
     #[error("hash: wrong")]
     WrongMac,
-    /// The header ends early, or holds something else than unsigned integers.
+    /// The header is truncated or contains something other than unsigned integers.
     #[error("head: no number")]
     MalformedHeader,
-    /// Of another version of the protocol.
+    /// The datagram is of another protocol version.
     #[error("version: not 1")]
     UnknownVersion,
-    /// A number of the header is too large.
+    /// A number in the header is out of range.
     #[error("head: a number is out of range")]
     HeaderOutOfRange,
     /// An item does not begin with an unsigned integer.
     #[error("item: no kind")]
     MissingKind,
-    /// An item of a kind that there is not.
+    /// The kind of an item does not exist.
     #[error("item: unknown kind")]
     UnknownKind,
-    /// An item ends early, or holds something else than unsigned integers.
+    /// An item is truncated or contains something other than unsigned integers.
     #[error("item: no number")]
     MalformedItem,
-    /// A number of an item is too large.
+    /// A number in an item is out of range.
     #[error("item: a number is out of range")]
     ItemOutOfRange,
-    /// Addressed to another member.
+    /// The datagram is addressed to another member.
     #[error("to: another member")]
     WrongReceiver,
-    /// Addressed to a former incarnation of the receiver.
+    /// The datagram is addressed to a previous incarnation of the receiver.
     #[error("to: a former life")]
     StaleReceiver,
-    /// From no member, or from the receiver itself.
+    /// The sender is not a member, or is the receiver itself.
     #[error("from: no other member")]
     UnknownSender,
-    /// From an incarnation that its sender has left behind.
+    /// The datagram is from a previous incarnation of its sender.
     #[error("life: a former one")]
     StaleSender,
-    /// Received before, or too old to tell.
+    /// The datagram was received before, or its sequence number is too old to tell.
     #[error("number: heard before")]
     Replayed,
 }
--- a/crates/tidewall-coordination/src/codec/item.rs
+++ b/crates/tidewall-coordination/src/codec/item.rs
@@ -1,53 +1,53 @@
-//! The items of a datagram: their type, their encoding and their decoding. Those about leases are in `lease_message`.
+//! The items of a datagram: their type, encoding and decoding. Items about leases are in `lease_message`.
 use super::lease_message::{LeaseReply, LeaseRequest};
-use super::{append, kind, DatagramError, MAX_DATAGRAM, SEAL_LENGTH};
+use super::{append_numbers, kind, DatagramError, MAX_DATAGRAM, SEAL_LENGTH};
 use minicbor::Decoder;
 use tidewall_membership::{MemberState, MemberUpdate};
 
-/// Numbers of the longest item.
+/// The number of fields of the longest item.
 const MAX_FIELDS: usize = 8;
 
-/// A message to a member; a datagram carries one or more.
+/// A message to a member. A datagram carries one or more of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramItem {
-    /// Are you alive?
+    /// Checks whether the receiver is alive.
     Ping {
-        /// Comes back with the ack; 0 asks for none.
+        /// Returned in the ack; 0 if no ack is needed.
         sequence: u32,
     },
-    /// Ping another member on the sender's behalf.
+    /// Asks the receiver to ping another member on the sender's behalf.
     IndirectPing {
-        /// The member to be pinged.
+        /// The member to ping.
         target: usize,
-        /// Comes back with the ack.
+        /// Returned in the ack.
         sequence: u32,
     },
-    /// A member is alive.
+    /// Reports that a member is alive.
     Ack {
         /// The member that is alive.
         subject: usize,
-        /// Of the ping.
+        /// The sequence number of the ping.
         sequence: u32,
     },
-    /// A membership update, passed on.
+    /// A membership update that is passed on.
     Gossip {
-        /// The member that it is about.
+        /// The member that the update is about.
         member: usize,
-        /// Its state.
+        /// The member's state.
         update: MemberUpdate,
     },
-    /// From a lease holder to a grantor.
+    /// A request of a lease holder to a grantor.
     Request(LeaseRequest),
-    /// From a grantor to a lease holder.
+    /// A reply of a grantor to a lease holder.
     Reply(LeaseReply),
-    /// The sender has given a lease back that the receiver should hold from now on.
+    /// The sender has released a lease that the receiver should hold from now on.
     HandedOver {
         /// The task whose lease it is.
         task: usize,
     },
 }
 
-/// Appends an item where it fits beside the seal. Otherwise the body stays as it was, and the result is false.
+/// Appends an item if it fits beside the seal. Otherwise leaves the body unchanged and returns false.
 pub fn encode_item(body: &mut Vec<u8>, item: &DatagramItem) -> bool {
     let start = body.len();
     append_item(body, item);
@@ -60,25 +60,27 @@
 
 fn append_item(body: &mut Vec<u8>, item: &DatagramItem) {
     match *item {
-        DatagramItem::Ping { sequence } => append(body, &[kind::PING, sequence.into()]),
+        DatagramItem::Ping { sequence } => append_numbers(body, &[kind::PING, sequence.into()]),
         DatagramItem::IndirectPing { target, sequence } => {
             let numbers = [kind::INDIRECT_PING, target as u64, sequence.into()];
-            append(body, &numbers);
+            append_numbers(body, &numbers);
         }
         DatagramItem::Ack { subject, sequence } => {
-            append(body, &[kind::ACK, subject as u64, sequence.into()]);
+            append_numbers(body, &[kind::ACK, subject as u64, sequence.into()]);
         }
         DatagramItem::Gossip { member, update } => {
-            append(body, &[kind::GOSSIP, member as u64, update.incarnation]);
-            append(body, &[update.refutation.into(), update.state as u64]);
+            append_numbers(body, &[kind::GOSSIP, member as u64, update.incarnation]);
+            append_numbers(body, &[update.refutation.into(), update.state as u64]);
         }
         DatagramItem::Request(request) => request.append_to(body),
         DatagramItem::Reply(reply) => reply.append_to(body),
-        DatagramItem::HandedOver { task } => append(body, &[kind::HANDED_OVER, task as u64]),
+        DatagramItem::HandedOver { task } => {
+            append_numbers(body, &[kind::HANDED_OVER, task as u64])
+        }
     }
 }
 
-/// The items of a body, all of which were found good.
+/// Iterates over the items of a body, all of which were checked before.
 pub struct DecodedItems<'a>(Decoder<'a>);
 
 impl Iterator for DecodedItems<'_> {
@@ -89,10 +91,11 @@
     }
 }
 
-/// Reads the items after a header. All are checked before the first is returned, so that a malformed datagram has no effect.
+/// Decodes the items after a header. All items are checked before the first is returned, so that a malformed
+/// datagram has no effect.
 ///
 /// # Errors
-/// That of the first malformed item.
+/// The error of the first malformed item.
 pub fn decode_items(items: &[u8]) -> Result<DecodedItems<'_>, DatagramError> {
     let mut decoder = Decoder::new(items);
     while let Some(item) = decode_item(&mut decoder) {
@@ -101,7 +104,7 @@
     Ok(DecodedItems(Decoder::new(items)))
 }
 
-/// None at the end.
+/// Decodes the next item; `None` at the end of the input.
 fn decode_item(decoder: &mut Decoder) -> Option<Result<DatagramItem, DatagramError>> {
     if decoder.position() >= decoder.input().len() {
         return None;
@@ -112,7 +115,7 @@
 /// An item as it is on the wire.
 pub(super) struct RawItem {
     pub kind: u64,
-    /// Those that the kind does not have are 0.
+    /// The item's numbers; those that its kind does not have are 0.
     pub numbers: [u64; MAX_FIELDS],
 }
 
@@ -130,33 +133,35 @@
         Ok(RawItem { kind, numbers })
     }
 
-    /// Numbers that become indices or 32-bit numbers have to fit.
+    /// Converts the raw item. Numbers that become indices or 32-bit numbers have to fit.
     fn item(&self) -> Result<DatagramItem, DatagramError> {
         let n = &self.numbers;
         Ok(match self.kind {
             kind::PING => DatagramItem::Ping {
-                sequence: small(n[0])?,
+                sequence: to_u32(n[0])?,
             },
             kind::INDIRECT_PING => DatagramItem::IndirectPing {
-                target: index(n[0])?,
-                sequence: small(n[1])?,
+                target: to_index(n[0])?,
+                sequence: to_u32(n[1])?,
             },
             kind::ACK => DatagramItem::Ack {
-                subject: index(n[0])?,
-                sequence: small(n[1])?,
+                subject: to_index(n[0])?,
+                sequence: to_u32(n[1])?,
             },
             kind::GOSSIP => DatagramItem::Gossip {
-                member: index(n[0])?,
+                member: to_index(n[0])?,
                 update: MemberUpdate {
                     incarnation: n[1],
-                    refutation: small(n[2])?,
+                    refutation: to_u32(n[2])?,
                     state: member_state(n[3])?,
                 },
             },
             kind::PREPARE | kind::ACCEPT | kind::RELEASE => {
                 DatagramItem::Request(LeaseRequest::from_raw(self)?)
             }
-            kind::HANDED_OVER => DatagramItem::HandedOver { task: index(n[0])? },
+            kind::HANDED_OVER => DatagramItem::HandedOver {
+                task: to_index(n[0])?,
+            },
             _ => DatagramItem::Reply(LeaseReply::from_raw(self)?),
         })
     }
@@ -169,10 +174,10 @@
         .ok_or(DatagramError::ItemOutOfRange)
 }
 
-pub(super) fn small(number: u64) -> Result<u32, DatagramError> {
+pub(super) fn to_u32(number: u64) -> Result<u32, DatagramError> {
     u32::try_from(number).map_err(|_| DatagramError::ItemOutOfRange)
 }
 
-pub(super) fn index(number: u64) -> Result<usize, DatagramError> {
-    small(number).map(|n| n as usize)
+pub(super) fn to_index(number: u64) -> Result<usize, DatagramError> {
+    to_u32(number).map(|n| n as usize)
 }
--- a/crates/tidewall-coordination/src/codec/kind.rs
+++ b/crates/tidewall-coordination/src/codec/kind.rs
@@ -1,4 +1,4 @@
-//! The numbers of the items on the wire.
+//! The kind numbers that identify items on the wire.
 
 /// `DatagramItem::Ping`.
 pub const PING: u64 = 1;
@@ -24,5 +24,5 @@
 pub const RELEASE: u64 = 11;
 /// `DatagramItem::HandedOver`.
 pub const HANDED_OVER: u64 = 12;
-/// By kind: how many numbers follow it; 0 where there is no such kind.
+/// Indexed by kind: how many numbers follow it; 0 if there is no such kind.
 pub const FIELD_COUNTS: [usize; 13] = [0, 1, 2, 2, 4, 2, 6, 7, 3, 3, 8, 2, 1];
--- a/crates/tidewall-coordination/src/codec/lease_message.rs
+++ b/crates/tidewall-coordination/src/codec/lease_message.rs
@@ -1,83 +1,83 @@
-//! Messages between lease holders and grantors. Ballots and epochs travel as their count alone: the rest is the lease holder's
-//! member and incarnation, which both sides know.
-use super::item::{index, small, RawItem};
-use super::{append, kind, DatagramError};
+//! Messages between lease holders and grantors. Of a ballot or an epoch only the count is sent: the rest is
+//! the lease holder's member number and incarnation, which both sides know.
+use super::item::{to_index, to_u32, RawItem};
+use super::{append_numbers, kind, DatagramError};
 use tidewall_lease::ballot::BALLOT_COUNT_LIMIT;
 use tidewall_lease::grantor::{Grant, GrantorReply};
 
-/// What a lease holder asks of a grantor.
+/// A request of a lease holder to a grantor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRequest {
-    /// Phase one of a claim: a lease holder asks a grantor for a promise.
+    /// Phase 1 of a claim: a lease holder requests a promise.
     Prepare {
         /// The task whose lease it is.
         task: usize,
-        /// Of the holder's ballot.
+        /// The count of the holder's ballot.
         ballot_count: u64,
     },
-    /// Phase two of a claim, or a renewal: a lease holder asks a grantor for the lease.
+    /// Phase 2 of a claim, or a renewal: a lease holder requests the lease.
     Accept {
         /// The task whose lease it is.
         task: usize,
-        /// Of the lease's epoch.
+        /// The count of the lease's epoch.
         ballot_count: u64,
-        /// Comes back with the reply.
+        /// Returned in the reply.
         tag: u32,
     },
-    /// A lease holder gives a lease back to a grantor.
+    /// A lease holder releases a lease.
     Release {
         /// The task whose lease it is.
         task: usize,
-        /// Of the lease's epoch.
+        /// The count of the lease's epoch.
         ballot_count: u64,
     },
 }
 
-/// What a grantor replies to a lease holder.
+/// A reply of a grantor to a lease holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseReply {
-    /// A grantor promises.
+    /// The grantor promised the ballot.
     Promised {
         /// The task whose lease it is.
         task: usize,
-        /// Of the ballot that was asked with.
+        /// The count of the requested ballot.
         ballot_count: u64,
         /// The grant that the grantor accepted last.
         accepted: Grant,
         /// How long that grant still runs, in tenths of a millisecond.
         remaining: u64,
     },
-    /// A grantor does not promise.
+    /// The grantor did not promise the ballot.
     PrepareRejected {
         /// The task whose lease it is.
         task: usize,
-        /// Of the ballot that was asked with.
+        /// The count of the requested ballot.
         ballot_count: u64,
-        /// The whole ballot that the grantor promised before.
+        /// The complete ballot that the grantor promised before.
         promised: u64,
         /// The grant that the grantor accepted last.
         accepted: Grant,
         /// How long that grant still runs, in tenths of a millisecond.
         remaining: u64,
     },
-    /// A grantor has granted the lease.
+    /// The grantor granted the lease.
     Accepted {
         /// The task whose lease it is.
         task: usize,
-        /// Of the lease's epoch.
+        /// The count of the lease's epoch.
         ballot_count: u64,
-        /// Of the request.
+        /// The tag of the request.
         tag: u32,
     },
-    /// A grantor has not granted the lease.
+    /// The grantor did not grant the lease.
     AcceptRejected {
         /// The task whose lease it is.
         task: usize,
-        /// Of the epoch that was asked with.
+        /// The count of the requested epoch.
         ballot_count: u64,
-        /// Of the request.
+        /// The tag of the request.
         tag: u32,
-        /// The whole ballot that the grantor promised.
+        /// The complete ballot that the grantor promised.
         promised: u64,
         /// The grant that the grantor accepted last.
         accepted: Grant,
@@ -90,28 +90,28 @@
     pub(super) fn append_to(self, body: &mut Vec<u8>) {
         match self {
             LeaseRequest::Prepare { task, ballot_count } => {
-                append(body, &[kind::PREPARE, task as u64, ballot_count]);
+                append_numbers(body, &[kind::PREPARE, task as u64, ballot_count]);
             }
             LeaseRequest::Accept {
                 task,
                 ballot_count,
                 tag,
-            } => append(body, &[kind::ACCEPT, task as u64, ballot_count, tag.into()]),
+            } => append_numbers(body, &[kind::ACCEPT, task as u64, ballot_count, tag.into()]),
             LeaseRequest::Release { task, ballot_count } => {
-                append(body, &[kind::RELEASE, task as u64, ballot_count]);
+                append_numbers(body, &[kind::RELEASE, task as u64, ballot_count]);
             }
         }
     }
 
     pub(super) fn from_raw(raw: &RawItem) -> Result<LeaseRequest, DatagramError> {
         let n = &raw.numbers;
-        let (task, ballot_count) = (index(n[0])?, count(n[1])?);
+        let (task, ballot_count) = (to_index(n[0])?, to_ballot_count(n[1])?);
         Ok(match raw.kind {
             kind::PREPARE => LeaseRequest::Prepare { task, ballot_count },
             kind::ACCEPT => LeaseRequest::Accept {
                 task,
                 ballot_count,
-                tag: small(n[2])?,
+                tag: to_u32(n[2])?,
             },
             kind::RELEASE => LeaseRequest::Release { task, ballot_count },
             _ => return Err(DatagramError::UnknownKind),
@@ -128,7 +128,7 @@
                 accepted,
                 remaining,
             } => {
-                append(body, &[kind::PROMISED, task as u64, ballot_count]);
+                append_numbers(body, &[kind::PROMISED, task as u64, ballot_count]);
                 append_grant(body, &accepted, remaining);
             }
             LeaseReply::PrepareRejected {
@@ -138,8 +138,8 @@
                 accepted,
                 remaining,
             } => {
-                append(body, &[kind::PREPARE_REJECTED, task as u64, ballot_count]);
-                append(body, &[promised]);
+                append_numbers(body, &[kind::PREPARE_REJECTED, task as u64, ballot_count]);
+                append_numbers(body, &[promised]);
                 append_grant(body, &accepted, remaining);
             }
             LeaseReply::Accepted {
@@ -148,7 +148,7 @@
                 tag,
             } => {
                 let numbers = [kind::ACCEPTED, task as u64, ballot_count, tag.into()];
-                append(body, &numbers);
+                append_numbers(body, &numbers);
             }
             LeaseReply::AcceptRejected {
                 task,
@@ -158,8 +158,8 @@
                 accepted,
                 remaining,
             } => {
-                append(body, &[kind::ACCEPT_REJECTED, task as u64, ballot_count]);
-                append(body, &[tag.into(), promised]);
+                append_numbers(body, &[kind::ACCEPT_REJECTED, task as u64, ballot_count]);
+                append_numbers(body, &[tag.into(), promised]);
                 append_grant(body, &accepted, remaining);
             }
         }
@@ -167,39 +167,39 @@
 
     pub(super) fn from_raw(raw: &RawItem) -> Result<LeaseReply, DatagramError> {
         let n = &raw.numbers;
-        let (task, ballot_count) = (index(n[0])?, count(n[1])?);
+        let (task, ballot_count) = (to_index(n[0])?, to_ballot_count(n[1])?);
         Ok(match raw.kind {
             kind::PROMISED => LeaseReply::Promised {
                 task,
                 ballot_count,
-                accepted: grant(&n[2..])?,
+                accepted: decode_grant(&n[2..])?,
                 remaining: n[5],
             },
             kind::PREPARE_REJECTED => LeaseReply::PrepareRejected {
                 task,
                 ballot_count,
                 promised: n[2],
-                accepted: grant(&n[3..])?,
+                accepted: decode_grant(&n[3..])?,
                 remaining: n[6],
             },
             kind::ACCEPTED => LeaseReply::Accepted {
                 task,
                 ballot_count,
-                tag: small(n[2])?,
+                tag: to_u32(n[2])?,
             },
             kind::ACCEPT_REJECTED => LeaseReply::AcceptRejected {
                 task,
                 ballot_count,
-                tag: small(n[2])?,
+                tag: to_u32(n[2])?,
                 promised: n[3],
-                accepted: grant(&n[4..])?,
+                accepted: decode_grant(&n[4..])?,
                 remaining: n[7],
             },
             _ => return Err(DatagramError::UnknownKind),
         })
     }
 
-    /// The reply to a `Prepare`.
+    /// Builds the reply to a `Prepare`.
     pub fn for_prepare(task: usize, ballot_count: u64, reply: &GrantorReply) -> LeaseReply {
         let (accepted, remaining) = (reply.state.accepted, reply.remaining);
         if reply.granted {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// The reply to an `Accept`.
+    /// Builds the reply to an `Accept`.
     pub fn for_accept(
         task: usize,
         ballot_count: u64,
@@ -248,10 +248,10 @@
 
 fn append_grant(body: &mut Vec<u8>, grant: &Grant, remaining: u64) {
     let member = grant.member as u64;
-    append(body, &[grant.epoch, member, grant.incarnation, remaining]);
+    append_numbers(body, &[grant.epoch, member, grant.incarnation, remaining]);
 }
 
-fn count(number: u64) -> Result<u64, DatagramError> {
+fn to_ballot_count(number: u64) -> Result<u64, DatagramError> {
     if number < BALLOT_COUNT_LIMIT {
         Ok(number)
     } else {
@@ -259,10 +259,10 @@
     }
 }
 
-fn grant(numbers: &[u64]) -> Result<Grant, DatagramError> {
+fn decode_grant(numbers: &[u64]) -> Result<Grant, DatagramError> {
     Ok(Grant {
         epoch: numbers[0],
-        member: index(numbers[1])?,
+        member: to_index(numbers[1])?,
         incarnation: numbers[2],
     })
 }
--- a/crates/tidewall-coordination/src/codec/mod.rs
+++ b/crates/tidewall-coordination/src/codec/mod.rs
@@ -1,7 +1,8 @@
-//! Datagrams between members, as `docs/wire.md` specifies them: a header, items (unsigned integers in CBOR, RFC 8949, one after
-//! the other), the id of a key, and an HMAC-SHA-256 over all before it, truncated to 16 bytes; 256 bytes at most. Each item
-//! is a [`DatagramItem`], encoded and decoded here alone. A datagram with one malformed item has no effect at all. Pure functions
-//! over buffers of the caller: nothing is allocated but the room that a body grows into.
+//! Datagrams between members, as specified in `docs/wire.md`: a header, items (sequences of unsigned integers
+//! in CBOR, RFC 8949), a key id, and an HMAC-SHA-256 over everything before it, truncated to 16 bytes. A
+//! datagram has at most 256 bytes. Each item is a [`DatagramItem`], which only this module encodes and
+//! decodes. A datagram with a malformed item has no effect at all. All functions are pure and work on buffers
+//! of the caller; the only allocation is the growth of a body.
 mod error;
 mod item;
 pub mod kind;
@@ -17,18 +18,20 @@
 use tidewall_membership::{MemberState, MemberUpdate};
 use tidewall_vrrp::packet::Keys;
 
-/// Bytes of the longest datagram: it passes unfragmented over any link, and a flood of them stays cheap.
+/// The maximum size of a datagram in bytes. A datagram of this size passes any link unfragmented, and a flood
+/// of them is cheap to handle.
 pub const MAX_DATAGRAM: usize = 256;
-/// Of the protocol; the first number of a header.
+/// The protocol version, which is the first number of a header.
 const VERSION: u64 = 1;
-/// Bytes of the truncated HMAC: 128 bits are out of reach of guessing.
+/// The size of the truncated HMAC in bytes: 128 bits cannot be guessed.
 const MAC_LENGTH: usize = 16;
-/// What `seal` appends: the id of the key and the truncated HMAC.
+/// The size of what `seal` appends: the key id and the truncated HMAC.
 const SEAL_LENGTH: usize = 1 + MAC_LENGTH;
 const HEADER_FIELDS: usize = 8;
 
-/// The low bits of a receiver's incarnation that a datagram carries, so that one for a former incarnation is rejected. Incarnations
-/// are times in milliseconds: those of one member within three days (2^28 milliseconds) differ in these bits.
+/// Selects the low bits of the receiver's incarnation that a datagram carries, so that a datagram for a
+/// previous incarnation is rejected. Incarnations are times in milliseconds: those of one member within three
+/// days (2^28 milliseconds) differ in these bits.
 pub const INCARNATION_MASK: u64 = (1 << 28) - 1;
 
 /// The header of a datagram.
@@ -38,15 +41,15 @@
     pub from: usize,
     /// The receiving member.
     pub to: usize,
-    /// The receiver's incarnation as far as the sender knows it, by [`INCARNATION_MASK`]; 0 where it knows none.
+    /// The receiver's incarnation as known to the sender, masked by [`INCARNATION_MASK`]; 0 if unknown.
     pub to_incarnation: u64,
     /// The sender's own state: its incarnation, and whether it is alive or has left.
     pub sender: MemberUpdate,
-    /// Rises with each datagram of one incarnation of the sender.
+    /// Increases with each datagram of one incarnation of the sender.
     pub sequence: u64,
 }
 
-fn append(body: &mut Vec<u8>, numbers: &[u64]) {
+fn append_numbers(body: &mut Vec<u8>, numbers: &[u64]) {
     let mut encoder = Encoder::new(body);
     for number in numbers {
         // Writing to a Vec cannot fail.
@@ -54,7 +57,7 @@
     }
 }
 
-/// Starts a datagram: what `body` held before is gone.
+/// Starts a datagram. Any previous contents of `body` are discarded.
 pub fn encode_header(body: &mut Vec<u8>, header: &DatagramHeader) {
     body.clear();
     let numbers: [u64; HEADER_FIELDS] = [
@@ -67,7 +70,7 @@
         u64::from(header.sender.state == MemberState::Left),
         header.sequence,
     ];
-    append(body, &numbers);
+    append_numbers(body, &numbers);
 }
 
 fn mac(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
@@ -76,7 +79,7 @@
     mac
 }
 
-/// Appends the id of the first key and the HMAC under it.
+/// Appends the id of the first key and the HMAC under that key.
 pub fn seal(body: &mut Vec<u8>, keys: &Keys) {
     let (id, key) = keys.0.first().map_or((0, &[][..]), |k| (k.0, &k.1));
     body.push(id);
@@ -84,10 +87,11 @@
     body.extend_from_slice(&hash[..MAC_LENGTH]);
 }
 
-/// Authenticates a datagram by any of the keys, and returns its body.
+/// Authenticates a datagram by any of the keys and returns its body.
 ///
 /// # Errors
-/// [`DatagramError::TooLong`], [`DatagramError::TooShort`], [`DatagramError::UnknownKey`], [`DatagramError::WrongMac`].
+/// [`DatagramError::TooLong`], [`DatagramError::TooShort`], [`DatagramError::UnknownKey`],
+/// [`DatagramError::WrongMac`].
 pub fn open<'a>(bytes: &'a [u8], keys: &Keys) -> Result<&'a [u8], DatagramError> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(DatagramError::TooLong);
@@ -102,17 +106,18 @@
         .iter()
         .find(|k| k.0 == id[0])
         .ok_or(DatagramError::UnknownKey)?;
-    // Compared in constant time.
+    // Compares in constant time.
     mac(&key.1, signed)
         .verify_truncated_left(hash)
         .map_err(|_| DatagramError::WrongMac)?;
     Ok(body)
 }
 
-/// Reads the header of an opened body; the second value is where its items begin.
+/// Decodes the header of an opened body. The second value is the offset of its items.
 ///
 /// # Errors
-/// [`DatagramError::MalformedHeader`], [`DatagramError::UnknownVersion`], [`DatagramError::HeaderOutOfRange`].
+/// [`DatagramError::MalformedHeader`], [`DatagramError::UnknownVersion`],
+/// [`DatagramError::HeaderOutOfRange`].
 pub fn decode_header(body: &[u8]) -> Result<(DatagramHeader, usize), DatagramError> {
     let mut decoder = Decoder::new(body);
     let mut numbers = [0; HEADER_FIELDS];
@@ -123,19 +128,19 @@
         }
     }
     let [_, from, to, to_incarnation, incarnation, refutation, left, sequence] = numbers;
-    let small = |n: u64| u32::try_from(n).map_err(|_| DatagramError::HeaderOutOfRange);
+    let to_u32 = |n: u64| u32::try_from(n).map_err(|_| DatagramError::HeaderOutOfRange);
     let state = match left {
         0 => MemberState::Alive,
         1 => MemberState::Left,
         _ => return Err(DatagramError::HeaderOutOfRange),
     };
     let header = DatagramHeader {
-        from: small(from)? as usize,
-        to: small(to)? as usize,
+        from: to_u32(from)? as usize,
+        to: to_u32(to)? as usize,
         to_incarnation,
         sender: MemberUpdate {
             incarnation,
-            refutation: small(refutation)?,
+            refutation: to_u32(refutation)?,
             state,
         },
         sequence,
--- a/crates/tidewall-coordination/src/config.rs
+++ b/crates/tidewall-coordination/src/config.rs
@@ -1,5 +1,5 @@
-//! The settings of the tasks, translated from the section `fleet_common` and the list of gateways. The keys of the settings
-//! file appear here alone.
+//! The configuration of the tasks, derived from the settings section `fleet_common` and the list of gateways.
+//! Only this module uses the keys of the settings file.
 use crate::Time;
 use std::net::SocketAddr;
 use tidewall_config::Section;
@@ -8,64 +8,68 @@
 use tidewall_lease::SafetyChecks;
 use tidewall_vrrp::packet::Keys;
 
-/// Settings of one member. Times are in tenths of a millisecond.
+/// The configuration of one member. Times are in tenths of a millisecond.
 pub struct CoordinationConfig {
-    /// This member, as an index of `member_names`.
+    /// The number of this member, an index into `member_names`.
     pub member: usize,
-    /// Rises with each start of the member.
+    /// Increases with each start of the member.
     pub incarnation: u64,
-    /// Seed of the random numbers of both tasks.
+    /// The seed of the random numbers of both tasks.
     pub seed: u64,
     /// This member's name.
     pub member_name: String,
     /// The names of all members.
     pub member_names: Vec<String>,
-    /// Where this member receives datagrams.
+    /// The address on which this member receives datagrams.
     pub listen: SocketAddr,
-    /// By member: where it is reached from here.
+    /// Indexed by member: the address at which it is reached.
     pub member_addresses: Vec<SocketAddr>,
     /// The members that grant leases.
     pub grantors: Vec<usize>,
-    /// How many tasks there are; each has one lease.
+    /// The number of tasks; each has one lease.
     pub tasks: usize,
-    /// How long a grantor keeps a lease from others.
+    /// How long a grantor keeps a lease from other members.
     pub lease_duration: Time,
-    /// How long the holder may use it, counted from its request: shorter by the error of clocks and the age of permits.
+    /// How long the holder may use a lease, counted from its request: shortened by the clock error and the
+    /// maximum age of a permit.
     pub usable_duration: Time,
     /// How long after it was sent an effect may still take place, by this member's clock.
     pub effect_timeout: Time,
-    /// Of the membership protocol: how often a member is probed.
+    /// The period of the membership protocol: how often this member probes another one.
     pub protocol_period: Time,
-    /// How often an effect of each held task is due.
+    /// The interval between effects of a held task.
     pub effect_interval: Time,
-    /// Datagrams that this member may send a second.
+    /// The number of datagrams that this member may send per second.
     pub datagrams_per_second: u64,
-    /// Bytes that this member may send a second.
+    /// The number of bytes that this member may send per second.
     pub bytes_per_second: u64,
-    /// Messages that a mailbox holds.
+    /// The number of messages that a mailbox holds.
     pub channel_capacity: usize,
-    /// Checks that a simulation may leave out to show that they are needed; all are on in service.
+    /// Safety checks that a simulation may disable to show that they are needed. All are enabled in
+    /// production.
     pub safety_checks: SafetyChecks,
-    /// Reads the keys that datagrams are sealed with.
+    /// Loads the keys with which datagrams are sealed.
     pub load_keys: Box<dyn Fn() -> Keys + Send>,
-    /// By how many millionths this member's clock runs fast, for tests.
+    /// By how many parts per million this member's clock runs fast, for tests.
     pub clock_skew_ppm: i64,
 }
 
-/// The part of `usable` after which a request without reply is sent again: a lost datagram costs little of a lease.
+/// The number of retry pauses in the usable duration of a lease: a request without a reply is first repeated
+/// after this fraction of it, so that a lost datagram costs little of a lease.
 const RETRIES_PER_LEASE: Time = 16;
 
-/// How many ticks pass between two retries at least, so that none is late by much.
+/// The minimum number of ticks between two retries, so that no retry is late by much.
 const TICKS_PER_RETRY: Time = 4;
-/// How many ticks pass in a period of the membership protocol at least.
+/// The minimum number of ticks in a period of the membership protocol.
 const TICKS_PER_PERIOD: Time = 8;
 
-/// Bounds of the tick, 1 ms and 50 ms: below, an idle task would burn a core; above, mailboxes would wait too long.
+/// Bounds of the tick interval, 1 ms and 50 ms: with a shorter tick an idle task would use a whole core, with
+/// a longer one messages would wait too long in the mailboxes.
 const MIN_TICK: Time = 10;
 const MAX_TICK: Time = 500;
 
 impl CoordinationConfig {
-    /// The settings of `member`; the section must have passed the checks of `tidewall-config`.
+    /// Builds the configuration of `member`. The section must have passed the checks of `tidewall-config`.
     pub fn new(
         section: &Section,
         member: usize,
@@ -111,7 +115,7 @@
         }
     }
 
-    /// The settings of this member's leases.
+    /// The configuration of this member's leases.
     pub fn lease_config(&self) -> LeaseConfig {
         LeaseConfig {
             member: self.member,
@@ -119,13 +123,14 @@
             grantors: self.grantors.len(),
             usable_duration: self.usable_duration,
             retry: (self.usable_duration / RETRIES_PER_LEASE).max(1),
-            // A multiplicative hash (2^64 by the golden ratio) of the seed, cut to 16 bits, spreads members as well as a draw.
+            // A multiplicative hash of the seed (by 2^64 divided by the golden ratio), reduced to 16 bits,
+            // spreads members as well as a random draw.
             offset: self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48,
             safety_checks: self.safety_checks,
         }
     }
 
-    /// How often a task reads its mailboxes and does what is due.
+    /// The interval at which a task reads its mailboxes and does what is due.
     pub fn tick_interval(&self) -> Time {
         (self.usable_duration / (TICKS_PER_RETRY * RETRIES_PER_LEASE))
             .min(self.protocol_period / TICKS_PER_PERIOD)
@@ -139,7 +144,7 @@
         .expect("the settings check has parsed each address")
 }
 
-/// Behind a translated address a member listens elsewhere than where it is reached.
+/// Behind address translation, a member listens on another address than the one at which it is reached.
 fn member_address(gateway: &Section) -> SocketAddr {
     let key = if gateway.has("common_reached_at") {
         "common_reached_at"
--- a/crates/tidewall-coordination/src/counters.rs
+++ b/crates/tidewall-coordination/src/counters.rs
@@ -1,69 +1,69 @@
-//! Metrics of the lease task, which owns them. They are logged as one line every ten seconds where one has changed; their names
-//! in that line are those of the operators' pages.
+//! Metrics of the lease task, which owns them. They are logged as one line every ten seconds if one of them
+//! has changed. The operator documentation uses the names in that line.
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Counts since the start of the process, and gauges of now.
+/// Counters since the start of the process, and gauges of the current state.
 #[derive(Default)]
 pub struct CoordinationCounters {
     registry: Registry,
     last_line: String,
-    /// Datagrams to other members.
+    /// Datagrams sent to other members.
     pub datagrams_sent: Counter,
-    /// Bytes of them.
+    /// Bytes of the datagrams sent.
     pub bytes_sent: Counter,
-    /// Datagrams of other members that were good.
+    /// Valid datagrams received from other members.
     pub datagrams_received: Counter,
-    /// Datagrams that were malformed, forged, replayed, or of a former incarnation.
+    /// Received datagrams that were malformed, forged, replayed, or of a previous incarnation.
     pub datagrams_rejected: Counter,
-    /// Commands that found the executor's mailbox full.
+    /// Commands dropped because the executor's mailbox was full.
     pub dropped_commands: Counter,
-    /// Leases that were given back after their execution had stopped.
+    /// Leases released after their execution had stopped.
     pub leases_handed_over: Counter,
-    /// Requests of other members that this member granted.
+    /// Accept requests of other members that this member granted.
     pub requests_granted: Counter,
-    /// Leases held here.
+    /// Leases held by this member.
     pub leases_held: Gauge,
-    /// Members that are alive, this one included.
+    /// Members that are alive, including this one.
     pub members_alive: Gauge,
 }
 
 impl CoordinationCounters {
-    /// All at zero and registered.
+    /// Creates and registers all metrics, with value zero.
     pub fn new() -> CoordinationCounters {
         let mut counters = CoordinationCounters::default();
         let registered = [
             (
                 "datagrams_sent",
-                "Datagrams to other members",
+                "Datagrams sent to other members",
                 &counters.datagrams_sent,
             ),
-            ("bytes_sent", "Bytes of them", &counters.bytes_sent),
+            ("bytes_sent", "Bytes of the datagrams sent", &counters.bytes_sent),
             (
                 "datagrams_heard",
-                "Datagrams of other members that were good",
+                "Valid datagrams received from other members",
                 &counters.datagrams_received,
             ),
             (
                 "datagrams_refused",
-                "Datagrams that were malformed, forged, replayed, or of a former incarnation",
+                "Received datagrams that were malformed, forged, replayed, or of a previous incarnation",
                 &counters.datagrams_rejected,
             ),
             (
                 "channel_full",
-                "Commands that found the mailbox of the executor task full",
+                "Commands dropped because the mailbox of the executor task was full",
                 &counters.dropped_commands,
             ),
             (
                 "leases_given_back",
-                "Leases given back after their execution had stopped",
+                "Leases released after their execution had stopped",
                 &counters.leases_handed_over,
             ),
             (
                 "keeper_grants",
-                "Requests of other members that this member granted",
+                "Accept requests of other members that this member granted",
                 &counters.requests_granted,
             ),
         ];
@@ -71,10 +71,14 @@
             counters.registry.register(name, help, counter.clone());
         }
         let registered = [
-            ("leases_held", "Leases held here", &counters.leases_held),
+            (
+                "leases_held",
+                "Leases held by this member",
+                &counters.leases_held,
+            ),
             (
                 "members_here",
-                "Members that are alive, this one included",
+                "Members that are alive, including this one",
                 &counters.members_alive,
             ),
         ];
@@ -84,7 +88,7 @@
         counters
     }
 
-    /// All metrics as one line `name=value ...`, or none where it is the line of the last call.
+    /// All metrics as one line `name=value ...`; `None` if the line equals that of the last call.
     pub fn changed_line(&mut self) -> Option<String> {
         let mut text = String::new();
         encode(&mut text, &self.registry).ok()?;
--- a/crates/tidewall-coordination/src/effect_scheduler.rs
+++ b/crates/tidewall-coordination/src/effect_scheduler.rs
@@ -1,47 +1,50 @@
-//! Decides when effects of held tasks are due, and when the execution of a task has stopped. Each task has an effect every
-//! interval while its lease runs. A task whose lease was lost is reported as stopped only when no effect of it can take place any
-//! more: all that were sent are acknowledged, or older than a worker lets a permit become. No I/O and no clock; the executor
-//! task owns it.
+//! Decides when effects of held tasks are due, and when the execution of a task has stopped. Each task has
+//! one effect per interval while its lease runs. A task whose lease was lost is reported as stopped only when
+//! none of its effects can take place any more: each effect that was sent is either acknowledged or older
+//! than the age at which a worker rejects its permit. This module does no I/O and reads no clock; the
+//! executor task owns it.
 use crate::Time;
 use std::collections::BTreeSet;
 
-/// The output of the scheduler.
+/// Receives the output of the scheduler.
 pub trait EffectActions {
-    /// An effect of the task is due: it is to go out, if the lease still permits it when the worker's permit is there.
+    /// An effect of the task is due. It is to be sent if the lease still permits it when the worker's permit
+    /// arrives.
     fn run_effect(&mut self, task: usize);
-    /// No effect under that epoch, or one below, can take place any more.
+    /// No effect under that epoch or a lower one can take place any more.
     fn execution_stopped(&mut self, task: usize, epoch: u64);
 }
 
-/// One task.
+/// The state of one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct TaskState {
-    /// Of the lease held here; 0 where there is none.
+    /// The epoch of the lease held by this member; 0 if there is none.
     epoch: u64,
     expires_at: Time,
     next_effect: Time,
     in_flight: u32,
     last_sent: Time,
-    /// Rises when the effects in flight are given up: an acknowledgement that comes later is none of those sent since.
-    round: u32,
-    /// The highest epoch that was lost and is to be reported as stopped; 0 where there is none.
+    /// Incremented when the effects in flight are considered finished. An acknowledgement of an earlier
+    /// generation does not count for effects sent later.
+    generation: u32,
+    /// The highest lost epoch whose stop is still to be reported; 0 if there is none.
     stopping_epoch: u64,
 }
 
-/// The tasks of a node; see the module's documentation.
+/// The tasks of a node; see the module documentation.
 pub struct EffectScheduler {
     tasks: Vec<TaskState>,
-    /// Held tasks by the time of their next effect.
+    /// Held tasks ordered by the time of their next effect.
     due: BTreeSet<(Time, usize)>,
-    /// Tasks that are to be reported as stopped.
+    /// Tasks whose stop is still to be reported.
     stopping: BTreeSet<usize>,
     interval: Time,
     effect_timeout: Time,
 }
 
 impl EffectScheduler {
-    /// For `tasks` tasks, an effect of each every `interval`. An effect may still take place for `effect_timeout` after it was sent,
-    /// by this node's clock.
+    /// Creates a scheduler for `tasks` tasks, each with one effect per `interval`. An effect may still take
+    /// place for `effect_timeout` after it was sent, measured by this node's clock.
     pub fn new(tasks: usize, interval: Time, effect_timeout: Time) -> EffectScheduler {
         EffectScheduler {
             tasks: vec![TaskState::default(); tasks],
@@ -52,7 +55,8 @@
         }
     }
 
-    /// The epoch under which an effect of the task may go out now. To be asked right before the bytes are written.
+    /// The epoch under which an effect of the task may be sent at `now`. To be called immediately before the
+    /// bytes are written.
     pub fn permitted_epoch(&self, now: Time, task: usize) -> Option<u64> {
         self.tasks
             .get(task)
@@ -60,8 +64,8 @@
             .map(|state| state.epoch)
     }
 
-    /// The lease is held until `until`. The first effect of a task that was not held before is due after `first_delay`. A lease of
-    /// an epoch that is older than what is known, or that was lost, is ignored.
+    /// Records that the lease is held until `until`. If the task was not held before, its first effect is due
+    /// after `first_delay`. The call is ignored if the epoch is lower than a known one, or was lost.
     pub fn lease_acquired(
         &mut self,
         now: Time,
@@ -91,7 +95,7 @@
         }
     }
 
-    /// The lease of that epoch is lost; `execution_stopped` follows, now or later.
+    /// Records that the lease of that epoch is lost. `execution_stopped` follows immediately or later.
     pub fn lease_lost(
         &mut self,
         now: Time,
@@ -113,24 +117,24 @@
         self.report_if_stopped(now, actions, task);
     }
 
-    /// An effect was sent. Its acknowledgement has to name the round that is returned.
+    /// Records that an effect was sent. Its acknowledgement has to pass the returned generation.
     pub fn effect_sent(&mut self, now: Time, task: usize) -> u32 {
         let state = &mut self.tasks[task];
         state.in_flight += 1;
         state.last_sent = now;
-        state.round
+        state.generation
     }
 
-    /// An effect that was sent in that round was acknowledged, or rejected by its worker.
+    /// Records that an effect of that generation was acknowledged, or rejected by its worker.
     pub fn effect_acknowledged(
         &mut self,
         now: Time,
         actions: &mut impl EffectActions,
         task: usize,
-        round: u32,
+        generation: u32,
     ) {
         let state = &mut self.tasks[task];
-        if round == state.round {
+        if generation == state.generation {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
         self.report_if_stopped(now, actions, task);
@@ -143,7 +147,7 @@
             actions.execution_stopped(task, state.stopping_epoch);
             state.in_flight = 0;
             state.stopping_epoch = 0;
-            state.round = state.round.wrapping_add(1);
+            state.generation = state.generation.wrapping_add(1);
         }
     }
 
@@ -156,7 +160,7 @@
                 state.next_effect = Time::MAX;
                 continue;
             }
-            // A late effect does not make up for those that were missed.
+            // Effects that were missed are not made up for.
             state.next_effect = (at + self.interval).max(now + 1);
             self.due.insert((state.next_effect, task));
             actions.run_effect(task);
--- a/crates/tidewall-coordination/src/executor_task/mod.rs
+++ b/crates/tidewall-coordination/src/executor_task/mod.rs
@@ -1,9 +1,10 @@
-//! The executor task: carries out the effects of the tasks whose leases are held here. It runs on a thread of its own and is the only
-//! owner of the connections to workers for effects, and of the effect scheduler. It talks to the lease task by one mailbox each
-//! way and never waits: where the lease task's mailbox is full, a stopped execution is asked for again by its lease.
+//! The executor task executes the effects of the tasks whose leases this member holds. It runs on its own
+//! thread and exclusively owns the connections to workers for effects and the effect scheduler. It
+//! communicates with the lease task through one mailbox in each direction and never waits: if the lease
+//! task's mailbox is full, the notice that execution stopped is dropped, and the lease requests it again.
 //!
-//! An effect goes out under a permit that its worker gave a short while ago, and whether the lease still permits it is asked
-//! right before it is written.
+//! An effect is sent under a permit that its worker issued shortly before. Whether the lease still permits
+//! the effect is checked immediately before it is written.
 mod workers;
 
 use crate::config::CoordinationConfig;
@@ -22,31 +23,32 @@
 use tracing::debug;
 use workers::{InFlightEffect, Worker};
 
-/// A connection on which nothing was answered for so many effect timeouts is given up: the worker vanished.
+/// The number of effect timeouts after which a connection whose hello or permit is outstanding is reset: the
+/// worker has vanished.
 const SILENT_TIMEOUTS: Time = 4;
 
-/// Separates the random numbers of this task from those of the lease task, which has the same seed.
+/// Separates the random numbers of this task from those of the lease task, which uses the same seed.
 const RNG_STREAM: u64 = 0xac75;
 
-/// The output side of the scheduler.
+/// Receives the output of the scheduler.
 struct SchedulerOutput {
-    /// Tasks of which an effect is due.
-    due: Vec<usize>,
+    /// The tasks that have an effect due.
+    due_tasks: Vec<usize>,
     events: MailboxSender<ExecutorEvent>,
 }
 
 impl EffectActions for SchedulerOutput {
     fn run_effect(&mut self, task: usize) {
-        self.due.push(task);
+        self.due_tasks.push(task);
     }
     fn execution_stopped(&mut self, task: usize, epoch: u64) {
-        // Where the mailbox is full the lease task asks for it again.
+        // If the mailbox is full, the lease task requests the notice again.
         self.events
             .send(ExecutorEvent::ExecutionStopped { task, epoch });
     }
 }
 
-/// The fields of an effect, as the worker checks them.
+/// The fields of an effect as the worker checks them.
 struct EffectRequest {
     id: u64,
     task: usize,
@@ -57,7 +59,7 @@
 }
 
 impl EffectRequest {
-    /// `frame` holds this one alone afterwards.
+    /// Replaces the contents of `frame` with the encoded effect.
     fn encode(&self, frame: &mut Vec<u8>) {
         frame.clear();
         let (task, member) = (self.task as u64, self.member as u64);
@@ -81,7 +83,8 @@
     }
 }
 
-/// The state of the executor task; see the module's documentation. It is an `App` of the event loop and runs on any `Net`.
+/// The state of the executor task; see the module documentation. It is an `App` of the event loop and runs on
+/// any `Net`.
 pub struct ExecutorTask<N: Net> {
     net: N,
     member: usize,
@@ -91,20 +94,20 @@
     output: SchedulerOutput,
     commands: MailboxReceiver<ExecutorCommand>,
     workers: Vec<Worker>,
-    /// Index of the worker by its connection.
+    /// The index of each worker by its connection.
     by_connection: BTreeMap<Conn, usize>,
     last_effect_id: u64,
     tick_interval: Time,
     effect_interval: Time,
     effect_timeout: Time,
     rng: ChaCha8Rng,
-    /// The frame being written, kept for its room.
+    /// The buffer for the frame being written, kept to reuse its allocation.
     frame: Vec<u8>,
     shutdown: Arc<AtomicBool>,
 }
 
 impl<N: Net> ExecutorTask<N> {
-    /// Sets the first timer. Setting `shutdown` ends the task; that is due when the lease task has ended.
+    /// Sets the first timer. Setting `shutdown` ends the task; it is to be set once the lease task has ended.
     pub fn new(
         mut net: N,
         config: &CoordinationConfig,
@@ -125,7 +128,7 @@
                 config.effect_timeout,
             ),
             output: SchedulerOutput {
-                due: Vec::new(),
+                due_tasks: Vec::new(),
                 events,
             },
             commands,
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Whether effects of that task may go out from here now.
+    /// Whether this member may send effects of that task at `now`.
     pub fn is_held(&self, now: Time, task: usize) -> bool {
         self.scheduler.permitted_epoch(now, task).is_some()
     }
@@ -152,7 +155,7 @@
             self.handle_command(now, command);
         }
         self.scheduler.tick(now, &mut self.output);
-        while let Some(task) = self.output.due.pop() {
+        while let Some(task) = self.output.due_tasks.pop() {
             self.queue_effect(task);
         }
         self.reset_silent_connections(now);
@@ -165,7 +168,7 @@
     fn handle_command(&mut self, now: Time, command: ExecutorCommand) {
         match command {
             ExecutorCommand::LeaseAcquired { task, epoch, until } => {
-                // The effects of many tasks spread over the interval.
+                // A random delay spreads the effects of many tasks over the interval.
                 let first_delay = self.rng.random_range(0..self.effect_interval.max(1));
                 self.scheduler
                     .lease_acquired(now, task, epoch, until, first_delay);
@@ -178,7 +181,8 @@
         }
     }
 
-    /// A worker that vanished answers nothing, also when it is back: only a new connection finds out.
+    /// A worker that vanished does not answer, even after it has restarted: only a new connection reveals
+    /// that it is back.
     fn reset_silent_connections(&mut self, now: Time) {
         let silence = SILENT_TIMEOUTS * self.effect_timeout;
         for index in 0..self.workers.len() {
@@ -194,7 +198,7 @@
         }
     }
 
-    /// An effect of the task is due: it waits for a permit of its worker.
+    /// Queues a due effect of the task until its worker issues a permit.
     fn queue_effect(&mut self, task: usize) {
         let Some(index) = self.worker_for(task) else {
             return;
@@ -220,7 +224,7 @@
         }
     }
 
-    /// All effects that wait for this permit go out, where their leases still permit it.
+    /// Sends all effects that wait for this permit and that their leases still permit.
     fn permit_received(&mut self, index: usize, permit: u64) {
         let worker = &mut self.workers[index];
         worker.permit_requested = false;
@@ -241,8 +245,8 @@
             };
             request.encode(&mut self.frame);
             if self.net.write(conn, &self.frame) {
-                let round = self.scheduler.effect_sent(now, task);
-                let effect = InFlightEffect { task, round };
+                let generation = self.scheduler.effect_sent(now, task);
+                let effect = InFlightEffect { task, generation };
                 worker.in_flight.insert(request.id, effect);
             }
         }
@@ -264,12 +268,13 @@
 
     fn effect_answered(&mut self, index: usize, fields: &Fields) -> Result<(), WireError> {
         let id = fields.whole(Field::Id)?;
-        let Some(InFlightEffect { task, round }) = self.workers[index].in_flight.remove(&id) else {
+        let Some(InFlightEffect { task, generation }) = self.workers[index].in_flight.remove(&id)
+        else {
             return Ok(());
         };
         let now = self.net.now();
         self.scheduler
-            .effect_acknowledged(now, &mut self.output, task, round);
+            .effect_acknowledged(now, &mut self.output, task, generation);
         if fields.text(Field::Outcome)? != "done" {
             let epoch = fields.upto(Field::Epoch, u64::MAX, 0)?;
             debug!(member = %self.member_name, task, epoch, "effect rejected by worker");
@@ -280,7 +285,7 @@
         Ok(())
     }
 
-    /// Handles the complete frames of `bytes`; the result is how many bytes they took.
+    /// Handles the complete frames in `bytes` and returns the number of bytes consumed.
     fn handle_frames(&mut self, index: usize, bytes: &[u8]) -> Result<usize, WireError> {
         let mut used = 0;
         while let Some((body, length)) = wire::frame(&bytes[used..])? {
--- a/crates/tidewall-coordination/src/executor_task/workers.rs
+++ b/crates/tidewall-coordination/src/executor_task/workers.rs
@@ -1,4 +1,5 @@
-//! The workers at which effects take place: the list of them, the choice of one for a task, and the effects queued for each.
+//! The workers at which effects take place: their list, the choice of a worker for each task, and the effects
+//! queued for each worker.
 use super::ExecutorTask;
 use crate::Time;
 use std::collections::{BTreeMap, VecDeque};
@@ -6,33 +7,34 @@
 use tidewall_lease::assignment::{key, weight};
 use tidewall_net::{Conn, Net};
 
-/// How many effects may wait for a permit of one worker; beyond, they are skipped until they are due again. It is far above the
-/// number that becomes due within the round trip of a permit, and bounds the memory that an unreachable worker takes.
+/// The maximum number of effects that wait for a permit of one worker. Further effects are skipped until they
+/// are due again. The limit is far above the number of effects that become due within the round trip of a
+/// permit, and bounds the memory used for an unreachable worker.
 const MAX_QUEUED: usize = 4_096;
 
-/// An effect that was sent and not answered yet.
+/// An effect that was sent but not yet answered.
 pub(super) struct InFlightEffect {
     pub task: usize,
-    /// Of the scheduler.
-    pub round: u32,
+    /// The generation under which the scheduler counts the effect.
+    pub generation: u32,
 }
 
-/// A worker, its connection, and the effects for it.
+/// A worker, its connection, and its effects.
 pub(super) struct Worker {
-    /// For rendezvous hashing, from its name.
+    /// The hash of the worker's name, for rendezvous hashing.
     hash_key: u64,
     name: String,
     pub address: SocketAddr,
     pub conn: Option<Conn>,
-    /// It is connected and has said hello.
+    /// Whether the worker is connected and its hello was received.
     pub ready: bool,
-    /// A permit was asked for.
+    /// Whether a permit was requested and not yet received.
     pub permit_requested: bool,
-    /// Since when its hello, or a permit, is awaited.
+    /// When the wait for the worker's hello or for a permit began.
     pub waiting_since: Time,
     /// Tasks whose effect waits for a permit.
     pub queued: VecDeque<usize>,
-    /// By id.
+    /// The effects in flight by id.
     pub in_flight: BTreeMap<u64, InFlightEffect>,
 }
 
@@ -65,7 +67,8 @@
         self.permit_requested || !self.ready
     }
 
-    /// What waited for this worker is skipped; what was sent may still take place there.
+    /// Discards the queued effects, which are skipped until they are due again. Effects that were already
+    /// sent may still take place at the worker.
     pub fn disconnected(&mut self) {
         self.ready = false;
         self.permit_requested = false;
@@ -75,7 +78,8 @@
 }
 
 impl<N: Net> ExecutorTask<N> {
-    /// Takes over the complete list of workers, each by name and address. One that is not in it, or has moved, is disconnected.
+    /// Applies the complete list of workers, each with name and address. A worker that is not listed, or
+    /// whose address changed, is disconnected.
     pub fn update_endpoints(&mut self, endpoints: Vec<(String, SocketAddr)>) {
         for index in (0..self.workers.len()).rev() {
             let worker = &self.workers[index];
@@ -99,7 +103,7 @@
             self.by_connection.remove(&conn);
             self.net.close(conn);
         }
-        // The last worker has moved to this index.
+        // `swap_remove` moved the last worker to this index.
         let moved_from = self.workers.len();
         for worker_index in self.by_connection.values_mut() {
             if *worker_index == moved_from {
@@ -108,7 +112,8 @@
         }
     }
 
-    /// The worker at which a task's effects take place, by rendezvous hashing: all members that know the same workers choose the same.
+    /// The worker at which effects of a task take place, chosen by rendezvous hashing: all members that know
+    /// the same workers choose the same one.
     pub(super) fn worker_for(&self, task: usize) -> Option<usize> {
         (0..self.workers.len()).max_by_key(|index| weight(task, self.workers[*index].hash_key))
     }
--- a/crates/tidewall-coordination/src/lease_task/actions.rs
+++ b/crates/tidewall-coordination/src/lease_task/actions.rs
@@ -1,5 +1,5 @@
-//! The side effects of membership and leases: their calls become datagrams, commands to the executor task, or queue entries that the
-//! lease task handles after the current event.
+//! Implements the side effects of membership and leases. Calls become datagrams, commands to the executor
+//! task, or queue entries that the lease task handles after the current event.
 use super::outgoing::OutgoingDatagrams;
 use crate::codec::{DatagramItem, LeaseRequest};
 use crate::mailbox::{ExecutorCommand, MailboxSender};
@@ -11,14 +11,14 @@
 use tidewall_lease::lease::LeaseActions;
 use tidewall_membership::MembershipActions;
 
-/// A lease request to the grantor that this member is itself: no datagram goes out.
+/// A lease request of this member to its own grantor, which needs no datagram.
 pub(super) enum LocalRequest {
     Prepare { task: usize, ballot: u64 },
     Accept { task: usize, epoch: u64, tag: u32 },
     Release { task: usize, epoch: u64 },
 }
 
-/// A change of the membership that is not applied to the assignment of tasks yet.
+/// A membership change that is not yet applied to the assignment of tasks.
 pub(super) enum MembershipChange {
     Joined {
         member: usize,
@@ -26,19 +26,19 @@
     },
     Lost {
         member: usize,
-        /// It announced that it leaves.
+        /// Whether the member announced its departure.
         left: bool,
     },
 }
 
-/// The output side of the lease task.
+/// Receives the output of the membership and the leases.
 pub(super) struct TaskActions {
     pub outgoing: OutgoingDatagrams,
-    /// Members that grant leases, by the grantor's index.
+    /// The members that grant leases, by grantor index.
     grantors: Vec<usize>,
     pub local_requests: VecDeque<LocalRequest>,
     pub commands: MailboxSender<ExecutorCommand>,
-    /// Tasks whose acquired lease found the executor's mailbox full.
+    /// Tasks whose acquired lease is still to be announced because the executor's mailbox was full.
     pub unannounced: BTreeSet<usize>,
     rng: ChaCha8Rng,
     pub membership_changes: Vec<MembershipChange>,
@@ -84,9 +84,9 @@
         };
         self.outgoing.add_probe(via, &item);
     }
-    fn ack(&mut self, to: usize, of: usize, seq: u32) {
+    fn ack(&mut self, to: usize, alive_member: usize, seq: u32) {
         let item = DatagramItem::Ack {
-            subject: of,
+            subject: alive_member,
             sequence: seq,
         };
         self.outgoing.add_probe(to, &item);
@@ -101,8 +101,8 @@
         self.membership_changes
             .push(MembershipChange::Lost { member, left });
     }
-    fn random_below(&mut self, below: u64) -> u64 {
-        self.rng.random_range(0..below.max(1))
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.random_range(0..bound.max(1))
     }
 }
 
@@ -130,7 +130,8 @@
         self.request(grantor, LocalRequest::Release { task, epoch }, remote);
     }
     fn lease_acquired(&mut self, task: usize, epoch: u64, until: Time) {
-        // Where the mailbox is full it is announced at a later tick; until then nothing is executed under it.
+        // If the mailbox is full, the lease is announced at a later tick. Until then nothing is executed
+        // under it.
         let command = ExecutorCommand::LeaseAcquired { task, epoch, until };
         if !self.commands.send(command) {
             self.unannounced.insert(task);
@@ -140,7 +141,7 @@
         self.commands
             .send(ExecutorCommand::LeaseLost { task, epoch });
     }
-    fn random_below(&mut self, below: Time) -> Time {
-        self.rng.random_range(0..below.max(1))
+    fn random_below(&mut self, bound: Time) -> Time {
+        self.rng.random_range(0..bound.max(1))
     }
 }
--- a/crates/tidewall-coordination/src/lease_task/handover.rs
+++ b/crates/tidewall-coordination/src/lease_task/handover.rs
@@ -1,5 +1,5 @@
-//! Which leases this member wants, and how they change hands: membership changes move tasks by the assignment, a lease is given
-//! back when the executor has stopped, and a shutdown hands over all.
+//! Decides which leases this member wants, and hands them over: membership changes reassign tasks, a lease is
+//! released when the executor has stopped its task, and a shutdown hands over all leases.
 use super::actions::MembershipChange;
 use super::LeaseTask;
 use crate::codec::DatagramItem;
@@ -9,7 +9,7 @@
 use tracing::info;
 
 impl<N: Net> LeaseTask<N> {
-    /// Leases that were acquired while the executor's mailbox was full.
+    /// Announces leases that were acquired while the executor's mailbox was full.
     pub(super) fn announce_pending_leases(&mut self, now: Time) {
         while let Some(task) = self.actions.unannounced.first().copied() {
             let lease = self.holder.lease(task);
@@ -22,7 +22,8 @@
         }
     }
 
-    /// The leases held here are given to the members that should hold them without this one.
+    /// Begins the shutdown: the leases held by this member are handed over to the members that should hold
+    /// them without it.
     pub(super) fn begin_shutdown(&mut self, now: Time) {
         let (member, name) = (self.config.member, &self.config.member_name);
         info!(member = %name, leases = self.holder.running_count(), "shutting down, handing over leases");
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Members that joined or were lost, and which tasks move by it.
+    /// Applies members that joined or were lost to the assignment, which may move tasks.
     pub(super) fn apply_membership_changes(&mut self, now: Time) {
         for change in std::mem::take(&mut self.actions.membership_changes) {
             match change {
--- a/crates/tidewall-coordination/src/lease_task/mod.rs
+++ b/crates/tidewall-coordination/src/lease_task/mod.rs
@@ -1,8 +1,9 @@
-//! The lease task: follows the membership (SWIM) and claims, renews, grants and hands over leases. It runs on a thread of its own and
-//! is the only owner of the UDP socket, the membership, this member's leases and the grants of its grantor. It talks to the
-//! executor task by one mailbox each way and never waits: where the executor's mailbox is full, an acquired lease is announced
-//! at a later tick (until then nothing is executed under it), and a lost one is announced again by its lease as long as it
-//! is not confirmed.
+//! The lease task runs the membership protocol (SWIM) and claims, renews, grants and hands over leases. It
+//! runs on its own thread and exclusively owns the UDP socket, the membership, this member's leases and the
+//! grants of its grantor. It communicates with the executor task through one mailbox in each direction and
+//! never waits. If the executor's mailbox is full, an acquired lease is announced at a later tick (until then
+//! nothing is executed under it), and a lost lease is announced repeatedly until the executor confirms it or
+//! the lease has expired.
 mod actions;
 mod handover;
 mod outgoing;
@@ -31,23 +32,24 @@
 use tidewall_vrrp::packet::Keys;
 use tracing::info;
 
-/// How often keys are read again and counters logged: ten seconds are soon enough for a change of keys by an operator.
+/// The interval at which keys are reloaded and counters logged. Ten seconds are short enough for a key change
+/// by an operator.
 const REPORT_INTERVAL: Time = 100_000;
 
-/// A member that shuts down and cannot hand over its leases ends after so many lease durations all the same: by then all
-/// have expired.
+/// The number of lease durations after which a member that is shutting down and cannot hand over its leases
+/// ends anyway: by then all its leases have expired.
 const SHUTDOWN_LEASE_DURATIONS: Time = 2;
 
-/// Separates the random numbers of this task from those of the executor task, which has the same seed.
+/// Separates the random numbers of this task from those of the executor task, which uses the same seed.
 const RNG_STREAM: u64 = 0x1ea5e;
 
-/// Why the lease task cannot start.
+/// The reason why the lease task cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum LeaseTaskError {
-    /// Its address cannot be bound.
+    /// The address cannot be bound.
     #[error("{address}: common_address: {source}")]
     Bind {
-        /// The address of the settings.
+        /// The address from the settings.
         address: SocketAddr,
         /// The error of the operating system.
         source: std::io::Error,
@@ -60,33 +62,34 @@
     }
 }
 
-/// The state of the lease task; see the module's documentation. It is an `App` of the event loop and runs on any `Net`.
+/// The state of the lease task; see the module documentation. It is an `App` of the event loop and runs on
+/// any `Net`.
 pub struct LeaseTask<N: Net> {
     net: N,
     socket: DatagramSocket,
     config: CoordinationConfig,
     membership: Membership,
-    /// Where this member is one of the grantors.
+    /// The grantor, if this member is one.
     grantor: Option<LeaseGrantor>,
-    /// By member: which of the grantors it is.
+    /// Indexed by member: its index among the grantors, if it is one.
     grantor_indices: Vec<Option<usize>>,
     holder: LeaseHolder,
     assignment: Assignment,
-    /// By member: when one that has joined is assigned tasks. The delay keeps a flapping member, and a start of many members at
-    /// once, from moving tasks back and forth.
+    /// Indexed by member: when a member that has joined is assigned tasks. The delay prevents a flapping
+    /// member, or many members that start at once, from moving tasks back and forth.
     assigned_from: Vec<Option<Time>>,
     actions: TaskActions,
-    /// By member, as a sender.
+    /// The replay window of each sender, indexed by member.
     replay_windows: Vec<ReplayWindow>,
     executor_events: MailboxReceiver<ExecutorEvent>,
     budget: SendBudget,
     keys: Keys,
-    /// Total stall of the process that the membership was told of.
+    /// The total stall of the process that was already reported to the membership.
     known_stall: Time,
     last_report: Time,
-    /// When a rejected datagram was logged last; 0 where none was.
+    /// When a rejected datagram was last logged; 0 if never.
     last_rejection_log: Time,
-    /// What this task counts.
+    /// The metrics of this task.
     pub counters: CoordinationCounters,
     shutdown: Arc<AtomicBool>,
     shutdown_began: Option<Time>,
@@ -94,11 +97,12 @@
 }
 
 impl<N: Net> LeaseTask<N> {
-    /// Binds the socket and sets the first timer. `executor` are the ends of the mailboxes to and from the executor task. Setting
-    /// `shutdown` makes this member leave the membership, hand over its leases and end.
+    /// Binds the socket and sets the first timer. `executor` holds the ends of the mailboxes to and from the
+    /// executor task. Setting `shutdown` makes this member leave the membership, hand over its leases and
+    /// end.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn new(
         mut net: N,
         config: CoordinationConfig,
@@ -149,7 +153,7 @@
         })
     }
 
-    /// Who is alive, as far as is known here.
+    /// The members, and which of them are alive as far as this member knows.
     pub fn members(&self) -> &Membership {
         &self.membership
     }
@@ -159,22 +163,23 @@
         &self.holder
     }
 
-    /// Which member should hold the lease of that task, as far as is known here.
+    /// The member that should hold the lease of that task, as far as this member knows.
     pub fn preferred_holder(&self, task: usize) -> Option<usize> {
         self.assignment.owner(task)
     }
 
-    /// Whether it was shut down and has handed over its leases, or has waited until they expired.
+    /// Whether this member was shut down and has handed over its leases, or has waited until they expired.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// How many commands found the executor's mailbox full.
+    /// The number of commands dropped because the executor's mailbox was full.
     pub fn dropped_commands(&self) -> u64 {
         self.actions.commands.dropped
     }
 
-    /// Tells the membership of new stalls of this process: members that seemed silent meanwhile are not to be suspected.
+    /// Reports new stalls of this process to the membership, so that members that seemed silent during a
+    /// stall are not suspected.
     fn process_stall(&mut self) {
         let stall = self.net.total_stall();
         self.membership
@@ -202,7 +207,7 @@
             self.last_report = now;
             self.report(now);
         }
-        // One tick later, so that the last datagrams have left.
+        // Stops one tick later, so that the last datagrams have been sent.
         if self.may_finish(now) && std::mem::replace(&mut self.finished, true) {
             return self.net.stop();
         }
@@ -233,7 +238,8 @@
         }
     }
 
-    /// Ends the handling of each event: requests to this member's own grantor are answered, then all datagrams are sent.
+    /// Completes the handling of an event: answers requests to this member's own grantor, then sends all
+    /// datagrams.
     fn flush(&mut self, now: Time) {
         while let Some(request) = self.actions.local_requests.pop_front() {
             self.handle_local_request(now, request);
@@ -270,7 +276,7 @@
         }
     }
 
-    /// Replies of members that are no grantors are ignored.
+    /// Handles the reply of a grantor. Replies of other members are ignored.
     fn handle_prepare_reply(
         &mut self,
         now: Time,
@@ -290,7 +296,7 @@
         }
     }
 
-    /// Replies of members that are no grantors are ignored.
+    /// Handles the reply of a grantor. Replies of other members are ignored.
     fn handle_accept_reply(
         &mut self,
         now: Time,
@@ -313,7 +319,8 @@
     }
 }
 
-/// The first probe is at a random time of the period, so that members that start together do not probe together.
+/// The first probe is sent at a random time within the period, so that members that start together do not
+/// probe together.
 fn new_membership(now: Time, config: &CoordinationConfig, rng: &mut ChaCha8Rng) -> Membership {
     let first_probe = rng.random_range(0..config.protocol_period.max(1));
     Membership::new(
@@ -353,7 +360,8 @@
 
     fn datagram_received(&mut self, _: DatagramSocket, from: SocketAddr, bytes: &[u8]) {
         let now = self.net.now();
-        // After a stall the datagrams in the socket are old: the durations in them were measured before it.
+        // After a stall the datagrams in the socket are old: the durations in them were measured before the
+        // stall.
         self.process_stall();
         if let Err(error) = self.handle_datagram(now, bytes) {
             self.reject_datagram(now, from, error);
--- a/crates/tidewall-coordination/src/lease_task/outgoing.rs
+++ b/crates/tidewall-coordination/src/lease_task/outgoing.rs
@@ -1,22 +1,24 @@
-//! Outgoing datagrams: the items for one member that are produced while an event is handled are packed into as few datagrams as
-//! possible, gossip fills the room that is left, and all are sent when the event has been handled.
+//! Outgoing datagrams. The items for one member that are produced while an event is handled are packed into
+//! as few datagrams as possible, gossip fills the remaining space, and all datagrams are sent once the event
+//! has been handled.
 use super::LeaseTask;
 use crate::codec::{self, DatagramHeader, DatagramItem, INCARNATION_MASK, MAX_DATAGRAM};
 use std::collections::VecDeque;
 use tidewall_membership::MemberUpdate;
 use tidewall_net::Net;
 
-/// Membership updates in one datagram at most: a dozen bytes each, beside a batch of lease requests.
+/// The maximum number of membership updates in one datagram: about a dozen bytes each, beside a batch of
+/// lease requests.
 const MAX_GOSSIP: usize = 6;
 
-/// The datagram being packed for one member; its body is empty where there is no item for it.
+/// The datagram being packed for one member. Its body is empty if there is no item for the member.
 #[derive(Clone, Default)]
 struct Draft {
     body: Vec<u8>,
-    /// It holds a probe or an ack: gossip rides on these alone. On a batch of renewals each update would be repeated to the
-    /// same few grantors, and reach nobody else.
+    /// Whether the datagram contains a probe or an ack. Only such datagrams carry gossip: with batches of
+    /// renewals, each update would be sent repeatedly to the same few grantors and reach no other member.
     carries_probe: bool,
-    /// The member's incarnation as far as it is known; 0 where it is not.
+    /// The member's incarnation; 0 if unknown.
     incarnation: u64,
 }
 
@@ -28,10 +30,11 @@
 pub(super) struct OutgoingDatagrams {
     own_member: usize,
     last_sequence: u64,
-    /// By member.
+    /// The draft of each member, indexed by member.
     drafts: Vec<Draft>,
-    /// Members with a draft in the order they were begun; one whose draft was full is here once for each.
-    begun: Vec<usize>,
+    /// Members with a draft, in the order in which the drafts were started. A member whose draft was filled
+    /// appears once per draft.
+    draft_order: Vec<usize>,
     packed: VecDeque<PackedDatagram>,
     /// This member's state, for the headers.
     own_update: MemberUpdate,
@@ -43,7 +46,7 @@
             own_member,
             last_sequence: 0,
             drafts: vec![Draft::default(); members],
-            begun: Vec::new(),
+            draft_order: Vec::new(),
             packed: VecDeque::new(),
             own_update,
         }
@@ -57,29 +60,29 @@
         self.drafts[member].incarnation = incarnation;
     }
 
-    /// Adds an item for a member. Items for this member itself, and for unknown members, are dropped.
+    /// Adds an item for a member. Items for this member itself and for unknown members are dropped.
     pub fn add(&mut self, to: usize, item: &DatagramItem) {
         if to == self.own_member || to >= self.drafts.len() {
             return;
         }
         if self.drafts[to].body.is_empty() {
-            self.begin(to);
+            self.start_draft(to);
         }
         if !codec::encode_item(&mut self.drafts[to].body, item) {
-            self.pack(to);
-            self.begin(to);
+            self.finish_draft(to);
+            self.start_draft(to);
             // A header and one item always fit.
             codec::encode_item(&mut self.drafts[to].body, item);
         }
     }
 
-    /// Adds a ping or an ack, with which gossip may go.
+    /// Adds a ping or an ack. Its datagram may carry gossip.
     pub fn add_probe(&mut self, to: usize, item: &DatagramItem) {
         self.add(to, item);
         self.drafts[to].carries_probe = true;
     }
 
-    fn begin(&mut self, to: usize) {
+    fn start_draft(&mut self, to: usize) {
         self.last_sequence += 1;
         let draft = &mut self.drafts[to];
         let header = DatagramHeader {
@@ -90,10 +93,10 @@
             sequence: self.last_sequence,
         };
         codec::encode_header(&mut draft.body, &header);
-        self.begun.push(to);
+        self.draft_order.push(to);
     }
 
-    fn pack(&mut self, to: usize) {
+    fn finish_draft(&mut self, to: usize) {
         let body = std::mem::take(&mut self.drafts[to].body);
         if !body.is_empty() {
             self.packed.push_back(PackedDatagram { to, body });
@@ -102,12 +105,12 @@
 }
 
 impl<N: Net> LeaseTask<N> {
-    /// Completes all drafts with gossip in the room that they have, and sends them.
+    /// Fills the remaining space of all drafts with gossip and sends them.
     pub(super) fn send_datagrams(&mut self) {
-        while let Some(to) = self.actions.outgoing.begun.pop() {
+        while let Some(to) = self.actions.outgoing.draft_order.pop() {
             if !self.actions.outgoing.drafts[to].body.is_empty() {
                 self.add_gossip(to);
-                self.actions.outgoing.pack(to);
+                self.actions.outgoing.finish_draft(to);
             }
         }
         while let Some(PackedDatagram { to, mut body }) = self.actions.outgoing.packed.pop_front() {
@@ -122,7 +125,8 @@
         self.actions.outgoing.own_update = self.membership.own_update();
     }
 
-    /// The update about the receiver goes first, and with any datagram: a suspected receiver has to learn of it to refute it.
+    /// Adds gossip to the draft for a member. The update about the receiver goes first and with any kind of
+    /// datagram: a suspected receiver has to learn of the suspicion to refute it.
     fn add_gossip(&mut self, to: usize) {
         let draft = &mut self.actions.outgoing.drafts[to];
         let mut about_receiver = self.membership.update_for(to).map(|update| (to, update));
--- a/crates/tidewall-coordination/src/lease_task/receive.rs
+++ b/crates/tidewall-coordination/src/lease_task/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: authentication, protection against replay, and the dispatch of their items.
+//! Handles received datagrams: authentication, replay protection, and the dispatch of their items.
 use super::LeaseTask;
 use crate::codec::{self, DatagramError, DatagramItem, LeaseReply, LeaseRequest, INCARNATION_MASK};
 use crate::{Time, SECOND};
@@ -9,7 +9,7 @@
 use tidewall_net::Net;
 use tracing::warn;
 
-/// Who sent the datagram in hand.
+/// The sender of the datagram being handled.
 #[derive(Clone, Copy)]
 struct Sender {
     member: usize,
@@ -23,7 +23,8 @@
 }
 
 impl<N: Net> LeaseTask<N> {
-    /// A bad datagram has no effect but a count, and a log line a second at most: a flood of forged ones must not fill the log.
+    /// Counts a rejected datagram, which has no other effect, and logs at most one per second: a flood of
+    /// forged datagrams must not fill the log.
     pub(super) fn reject_datagram(&mut self, now: Time, from: SocketAddr, error: DatagramError) {
         self.counters.datagrams_rejected.inc();
         if now >= self.last_rejection_log + SECOND || self.last_rejection_log == 0 {
@@ -46,7 +47,8 @@
         if header.to_incarnation != 0 && header.to_incarnation != own_incarnation {
             return Err(DatagramError::StaleReceiver);
         }
-        // All items are checked before any has an effect, and before the sequence number counts as received.
+        // All items are checked before any takes effect, and before the sequence number is recorded as
+        // received.
         let items = codec::decode_items(&body[items_start..])?;
         let sender = Sender {
             member: header.from,
@@ -66,7 +68,7 @@
         self.actions
             .outgoing
             .set_incarnation(sender.member, sender.incarnation);
-        // A member that announces its leave may hand over a lease in the same datagram.
+        // A member that announces its departure may hand over a lease in the same datagram.
         self.apply_membership_changes(now);
         self.counters.datagrams_received.inc();
         for item in items {
@@ -96,7 +98,8 @@
         }
     }
 
-    /// What a lease holder asks of this member as a grantor; ignored where it is none.
+    /// Handles a request of a lease holder to this member as a grantor. It is ignored if this member is not a
+    /// grantor.
     fn handle_request(&mut self, now: Time, sender: Sender, request: LeaseRequest) {
         let Some(grantor) = &mut self.grantor else {
             return;
@@ -140,7 +143,7 @@
         }
     }
 
-    /// What a grantor replies to this member as a lease holder.
+    /// Handles a grantor's reply to this member as a lease holder.
     fn handle_reply(&mut self, now: Time, grantor: usize, reply: LeaseReply) {
         match reply {
             LeaseReply::Promised {
@@ -150,7 +153,7 @@
                 remaining,
             } => {
                 let ballot = self.own_ballot(ballot_count);
-                let reply = granted(ballot, accepted, remaining);
+                let reply = granted_reply(ballot, accepted, remaining);
                 self.handle_prepare_reply(now, grantor, task, ballot, reply);
             }
             LeaseReply::PrepareRejected {
@@ -161,7 +164,7 @@
                 remaining,
             } => {
                 let ballot = self.own_ballot(ballot_count);
-                let reply = rejected(promised, accepted, remaining);
+                let reply = rejected_reply(promised, accepted, remaining);
                 self.handle_prepare_reply(now, grantor, task, ballot, reply);
             }
             LeaseReply::Accepted {
@@ -174,7 +177,7 @@
                     epoch: ballot_count,
                     ..Grant::default()
                 };
-                let reply = granted(epoch, accepted, 0);
+                let reply = granted_reply(epoch, accepted, 0);
                 self.handle_accept_reply(now, grantor, task, epoch, tag, reply);
             }
             LeaseReply::AcceptRejected {
@@ -186,7 +189,7 @@
                 remaining,
             } => {
                 let epoch = self.own_ballot(ballot_count);
-                let reply = rejected(promised, accepted, remaining);
+                let reply = rejected_reply(promised, accepted, remaining);
                 self.handle_accept_reply(now, grantor, task, epoch, tag, reply);
             }
         }
@@ -196,7 +199,7 @@
         ballot(self.config.member, self.config.incarnation, ballot_count)
     }
 
-    /// Its former holder has given the lease back: it is claimed at once where it belongs here.
+    /// The previous holder has released the lease. It is claimed immediately if this member should hold it.
     fn lease_handed_over(&mut self, now: Time, task: usize) {
         if task < self.config.tasks && self.assignment.owner(task) == Some(self.config.member) {
             self.holder
@@ -205,8 +208,9 @@
     }
 }
 
-/// The promise of a granted request is the ballot that was asked with: it is not on the wire.
-fn granted(ballot: u64, accepted: Grant, remaining: Time) -> GrantorReply {
+/// Builds the reply to a granted request. The promised ballot is the requested one, so it is not sent on the
+/// wire.
+fn granted_reply(ballot: u64, accepted: Grant, remaining: Time) -> GrantorReply {
     GrantorReply {
         granted: true,
         state: AcceptorState {
@@ -217,7 +221,7 @@
     }
 }
 
-fn rejected(promised: u64, accepted: Grant, remaining: Time) -> GrantorReply {
+fn rejected_reply(promised: u64, accepted: Grant, remaining: Time) -> GrantorReply {
     GrantorReply {
         granted: false,
         state: AcceptorState { promised, accepted },
--- a/crates/tidewall-coordination/src/lease_task/send_budget.rs
+++ b/crates/tidewall-coordination/src/lease_task/send_budget.rs
@@ -1,16 +1,18 @@
-//! How much a member may send: a token bucket each for datagrams and for bytes, each of which holds a second's worth.
+//! Limits how much a member sends: one token bucket for datagrams and one for bytes, each holding one
+//! second's worth.
 use crate::{Time, SECOND};
 
-/// Bytes that one lease request takes at most in a batch, and how many requests fit a datagram: from the sizes of the codec
-/// (a kind, a task, a ballot's count and a tag in CBOR; 256 bytes less header and seal).
+/// The maximum number of bytes of one lease request in a batch, and the number of requests that fit a
+/// datagram. Both follow from the codec: a kind, a task, a ballot count and a tag in CBOR; 256 bytes less
+/// header and seal.
 const REQUEST_BYTES: u64 = 14;
 const REQUESTS_PER_DATAGRAM: u64 = 14;
 
 struct TokenBucket {
-    /// Below zero after more was sent than there was room for: replies go out in any case.
+    /// Negative after more was sent than the budget allowed, because replies are always sent.
     tokens: i64,
     per_second: i64,
-    /// Fractions of a token, in units of one ten-thousandth.
+    /// The fraction of a token, in ten-thousandths.
     remainder: i64,
 }
 
@@ -34,7 +36,8 @@
     }
 }
 
-/// What a member may still send now. Only claims and renewals of leases wait for it: they are the bulk of the traffic.
+/// What a member may still send. Only claims and renewals of leases wait for the budget: they are the bulk of
+/// the traffic.
 pub(super) struct SendBudget {
     datagrams: TokenBucket,
     bytes: TokenBucket,
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Adds what the time since the last call is worth.
+    /// Adds the tokens for the time since the last call.
     pub fn refill(&mut self, now: Time) {
         let elapsed = (now - self.last_refill).min(SECOND) as i64;
         self.last_refill = now;
@@ -63,7 +66,7 @@
         self.bytes.tokens -= bytes as i64;
     }
 
-    /// For how many tasks each of the grantors may be sent a request now.
+    /// The number of tasks for which a request may be sent to every grantor.
     pub fn affordable_tasks(&self, grantors: u64) -> usize {
         let by_datagrams = self.datagrams.available() * REQUESTS_PER_DATAGRAM;
         let by_bytes = self.bytes.available() / REQUEST_BYTES;
--- a/crates/tidewall-coordination/src/orderings_tests.rs
+++ b/crates/tidewall-coordination/src/orderings_tests.rs
@@ -1,5 +1,6 @@
-//! Thread orderings of the lease task and the executor task, explored by shuttle: the shipped mailboxes on shuttle's primitives, the
-//! shipped `EffectScheduler` at one end, and a stand-in for the lease task at the other.
+//! Explores thread orderings of the lease task and the executor task with shuttle: the production mailboxes
+//! on shuttle's primitives, the production `EffectScheduler` at one end, and a substitute for the lease task
+//! at the other.
 use crate::effect_scheduler::{EffectActions, EffectScheduler};
 use crate::mailbox::{channel, ExecutorCommand, ExecutorEvent, MailboxReceiver, MailboxSender};
 use shuttle::sync::Mutex;
@@ -9,25 +10,25 @@
 const RUNS: usize = 5_000;
 const STEPS: u64 = 25;
 
-/// What happened, in order.
+/// An entry of the log of events, which are kept in order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Entry {
-    /// An effect took place at the worker, under this epoch.
+    /// An effect took place at the worker under this epoch.
     Effect(u64),
-    /// The lease of this epoch was given back.
-    GivenBack(u64),
+    /// The lease of this epoch was released.
+    Released(u64),
 }
 
 struct Output {
-    due: Vec<usize>,
+    due_tasks: Vec<usize>,
     events: MailboxSender<ExecutorEvent>,
-    /// Planted fault: reports that execution has stopped as soon as the lease is lost.
+    /// Injected fault: reports that execution has stopped as soon as the lease is lost.
     reports_early: bool,
 }
 
 impl EffectActions for Output {
     fn run_effect(&mut self, task: usize) {
-        self.due.push(task);
+        self.due_tasks.push(task);
     }
     fn execution_stopped(&mut self, task: usize, epoch: u64) {
         self.events
@@ -35,7 +36,7 @@
     }
 }
 
-/// The executor task, and a worker at which effects take place some time after they were sent.
+/// Runs the executor task, and a worker at which effects take place some time after they were sent.
 fn execute(
     commands: MailboxReceiver<ExecutorCommand>,
     mut output: Output,
@@ -45,11 +46,11 @@
     let (mut acknowledgements, acknowledged) = channel::<u32>(2);
     let worker = thread::spawn(move || {
         for _ in 0..STEPS {
-            if let Some((epoch, round)) = effects_received.try_receive() {
+            if let Some((epoch, generation)) = effects_received.try_receive() {
                 log.lock()
                     .expect("no thread panics while it holds the log")
                     .push(Entry::Effect(epoch));
-                acknowledgements.send(round);
+                acknowledgements.send(generation);
             }
             thread::yield_now();
         }
@@ -72,15 +73,15 @@
                 ExecutorCommand::EndpointsChanged(_) => {}
             }
         }
-        while let Some(round) = acknowledged.try_receive() {
-            scheduler.effect_acknowledged(now, &mut output, 0, round);
+        while let Some(generation) = acknowledged.try_receive() {
+            scheduler.effect_acknowledged(now, &mut output, 0, generation);
         }
         scheduler.tick(now, &mut output);
-        let due = output.due.pop();
+        let due = output.due_tasks.pop();
         if let Some(epoch) = due.and_then(|_| scheduler.permitted_epoch(now, 0)) {
-            let round = scheduler.effect_sent(now, 0);
-            if !effects.send((epoch, round)) {
-                scheduler.effect_acknowledged(now, &mut output, 0, round);
+            let generation = scheduler.effect_sent(now, 0);
+            if !effects.send((epoch, generation)) {
+                scheduler.effect_acknowledged(now, &mut output, 0, generation);
             }
         }
         thread::yield_now();
@@ -88,7 +89,8 @@
     worker.join().expect("the worker thread does not panic");
 }
 
-/// No effect takes place after the lease task has received that execution stopped; a full mailbox loses no stop for good.
+/// Checks that no effect takes place after the lease task has received that execution stopped, although a
+/// full mailbox may drop a notice of it.
 fn no_effect_after_stopped(capacity: usize, reports_early: bool) {
     let (mut commands, commands_received) = channel(capacity);
     let (events, events_received) = channel(capacity);
@@ -96,7 +98,7 @@
     let executor = {
         let log = log.clone();
         let output = Output {
-            due: Vec::new(),
+            due_tasks: Vec::new(),
             events,
             reports_early,
         };
@@ -109,31 +111,31 @@
     });
     thread::yield_now();
     for _ in 0..STEPS {
-        // Sent again and again, as a lease that is to be given back does.
+        // Sent repeatedly, as by a lease that is to be released.
         commands.send(ExecutorCommand::LeaseLost { task: 0, epoch: 5 });
         thread::yield_now();
         if events_received.try_receive()
             == Some(ExecutorEvent::ExecutionStopped { task: 0, epoch: 5 })
         {
-            // From now on another member executes the task.
+            // From this point on another member may execute the task.
             log.lock()
                 .expect("no thread panics while it holds the log")
-                .push(Entry::GivenBack(5));
+                .push(Entry::Released(5));
             break;
         }
     }
     executor.join().expect("the executor thread does not panic");
     let log = log.lock().expect("no thread panics while it holds the log");
-    let given_back = |entry: &Entry| matches!(entry, Entry::GivenBack(_));
-    let first = log.iter().position(given_back).unwrap_or(log.len());
+    let released = |entry: &Entry| matches!(entry, Entry::Released(_));
+    let first = log.iter().position(released).unwrap_or(log.len());
     assert!(
-        log[first..].iter().all(given_back),
-        "an effect took place after the lease was given back: {log:?}"
+        log[first..].iter().all(released),
+        "an effect took place after the lease was released: {log:?}"
     );
 }
 
 #[test]
-fn no_effect_takes_place_after_the_lease_was_given_back() {
+fn no_effect_takes_place_after_the_lease_was_released() {
     shuttle::check_random(|| no_effect_after_stopped(1, false), RUNS);
     shuttle::check_random(|| no_effect_after_stopped(4, false), RUNS);
     shuttle::check_pct(|| no_effect_after_stopped(2, false), RUNS, 3);
@@ -141,6 +143,6 @@
 
 #[test]
 #[should_panic(expected = "an effect took place")]
-fn a_planted_early_report_is_detected() {
+fn an_injected_early_report_is_detected() {
     shuttle::check_random(|| no_effect_after_stopped(4, true), RUNS);
 }
--- a/crates/tidewall-coordination/src/replay_window.rs
+++ b/crates/tidewall-coordination/src/replay_window.rs
@@ -1,25 +1,26 @@
-//! Protection against replayed datagrams: a sliding window over the sequence numbers of one sender. No I/O and no clock; the
-//! lease task owns one window per member.
+//! Protection against replayed datagrams: a sliding window over the sequence numbers of one sender. This
+//! module does no I/O and reads no clock; the lease task owns one window per member.
 use crate::codec::DatagramError;
 
-/// How many sequence numbers below the highest one are remembered: the bits of one word.
+/// The size of the window in sequence numbers, the highest one included: the bits of one word.
 const WINDOW: u64 = u64::BITS as u64;
 
-/// Sequence numbers of one sender's incarnation: the highest received, and which of the 63 below it were.
+/// The sequence numbers received from one incarnation of a sender: the highest one, and which of the 63 below
+/// it.
 #[derive(Clone, Copy, Default)]
 pub struct ReplayWindow {
     incarnation: u64,
     highest: u64,
-    /// Bit `n` is set where `highest - n` was received.
+    /// Bit `n` is set if `highest - n` was received.
     received: u64,
 }
 
 impl ReplayWindow {
-    /// Records a datagram, or rejects one that was received before, is too old to tell, or comes from an incarnation that
-    /// the sender has left behind. Datagrams may overtake each other by up to 63.
+    /// Records a datagram. A datagram is rejected if it was received before, is too old to tell, or comes
+    /// from a previous incarnation of the sender. Reordering by up to 63 datagrams is tolerated.
     ///
     /// # Errors
-    /// [`DatagramError::StaleSender`] and [`DatagramError::Replayed`]; the window stays as it was.
+    /// [`DatagramError::StaleSender`] and [`DatagramError::Replayed`]; the window is then unchanged.
     pub fn admit(&mut self, incarnation: u64, sequence: u64) -> Result<(), DatagramError> {
         if incarnation < self.incarnation {
             return Err(DatagramError::StaleSender);
--- a/crates/tidewall-coordination/tests/codec.rs
+++ b/crates/tidewall-coordination/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is not good costs itself alone, and nothing of it counts.
+//! Datagrams: an invalid datagram is rejected as a whole and has no effect.
 #![allow(clippy::unwrap_used, missing_docs)]
 use test_case::test_case;
 use tidewall_coordination::codec::DatagramItem::{self, *};
@@ -14,7 +14,7 @@
 use tidewall_membership::{MemberState, MemberUpdate};
 use tidewall_vrrp::packet::Keys;
 
-/// All items, or none where one is malformed.
+/// Decodes all items; an error if one is malformed.
 fn items(items: &[u8]) -> Result<Vec<DatagramItem>, DatagramError> {
     decode_items(items).map(Iterator::collect)
 }
@@ -65,7 +65,7 @@
     body
 }
 
-/// What follows the header, as the numbers of `docs/wire.md`.
+/// Returns the numbers that follow the header, which `docs/wire.md` lists.
 fn numbers(items: &[u8]) -> Vec<u64> {
     let mut decoder = minicbor::Decoder::new(items);
     let mut numbers = Vec::new();
@@ -108,7 +108,7 @@
     );
 }
 
-/// Any bit of a sealed datagram, and any cut of it.
+/// Flips every bit of a sealed datagram, and truncates it at every length.
 #[test]
 fn a_tampered_datagram_is_not_opened() {
     let mut bytes = body(&[ACCEPT, GOSSIP]);
@@ -123,19 +123,21 @@
     assert!(open(&[0; MAX_DATAGRAM + 1], &keys(b"key")).is_err());
 }
 
-/// Under a good seal: cut anywhere, or any octet changed, all items are decoded or none.
+/// Truncated at any length or with any octet changed, a body with a valid seal yields either all items or
+/// none.
 #[test]
 fn a_malformed_body_yields_no_item() {
     let whole = body(&[ACCEPT, HandedOver { task: 7 }, GOSSIP]);
     let (_, items_start) = decode_header(&whole).unwrap();
-    let judge = |bytes: &[u8]| {
+    let check_all_or_none = |bytes: &[u8]| {
         let Ok((_, items_start)) = decode_header(bytes) else {
             return;
         };
         let Ok(decoded) = decode_items(&bytes[items_start..]) else {
             return;
         };
-        // What was found good is read to its end: encoded again, it is the same numbers and the same items.
+        // A valid body is decoded to its end: encoded again, it consists of the same numbers and yields the
+        // same items.
         let decoded: Vec<DatagramItem> = decoded.collect();
         let again = body(&decoded);
         let (_, again_start) = decode_header(&again).unwrap();
@@ -146,11 +148,11 @@
         assert_eq!(items(&again[again_start..]), Ok(decoded));
     };
     for len in 0..whole.len() {
-        judge(&whole[..len]);
+        check_all_or_none(&whole[..len]);
         for octet in [0, 1, 0x17, 0x1b, 0x5f, 0x80, 0xa1, 0xff] {
             let mut bytes = whole.clone();
             bytes[len] = octet;
-            judge(&bytes);
+            check_all_or_none(&bytes);
         }
     }
     assert_eq!(
@@ -175,7 +177,7 @@
     }
 }
 
-/// The longest items fit, and what does not fit leaves what is there alone.
+/// The longest items fit, and an item that does not fit leaves the body unchanged.
 #[test]
 fn a_datagram_stays_within_its_bound() {
     let mut body = Vec::new();
@@ -211,7 +213,7 @@
     assert!(body.len() <= MAX_DATAGRAM);
 }
 
-/// The log and the operators' pages show these texts.
+/// The log and the operator documentation contain these texts.
 #[test_case(DatagramError::TooLong, "length: over 256")]
 #[test_case(DatagramError::TooShort, "length: cut short")]
 #[test_case(DatagramError::UnknownKey, "key: unknown")]
--- a/crates/tidewall-coordination/tests/codec_round_trip.rs
+++ b/crates/tidewall-coordination/tests/codec_round_trip.rs
@@ -1,4 +1,4 @@
-//! Any datagram that the encoder writes is decoded to what was encoded.
+//! Every datagram that the encoder writes is decoded to what was encoded.
 #![allow(clippy::unwrap_used, missing_docs)]
 use proptest::prelude::*;
 use tidewall_coordination::codec::DatagramItem::{self, *};
--- a/crates/tidewall-coordination/tests/effect_scheduler.rs
+++ b/crates/tidewall-coordination/tests/effect_scheduler.rs
@@ -1,4 +1,4 @@
-//! When effects of held tasks are due, and when the execution of a task counts as stopped.
+//! Tests when effects of held tasks are due, and when the execution of a task counts as stopped.
 #![allow(missing_docs)]
 use test_case::test_case;
 use tidewall_coordination::effect_scheduler::{EffectActions, EffectScheduler};
@@ -31,7 +31,7 @@
     for now in [5, 10, 60, 110, 345, 350, 360, 1_000] {
         scheduler.tick(now, &mut recorded);
     }
-    // At 345 one effect, not two; at 350 the lease has expired.
+    // At 345 one effect runs, not two. At 350 the lease has expired.
     assert_eq!(recorded.effects, [1, 1, 1]);
     assert_eq!(
         (
@@ -40,7 +40,7 @@
         ),
         (Some(7), None)
     );
-    // A renewal that arrives late starts the effects again.
+    // A late renewal starts the effects again.
     scheduler.lease_acquired(1_000, 1, 7, 2_000, 10);
     scheduler.tick(1_010, &mut recorded);
     assert_eq!(recorded.effects.len(), 4);
@@ -60,7 +60,7 @@
         Recorded::default(),
     );
     scheduler.lease_acquired(0, 1, 7, 10_000, 10);
-    let round = if in_flight {
+    let generation = if in_flight {
         scheduler.effect_sent(20, 1)
     } else {
         0
@@ -72,8 +72,8 @@
         recorded.stopped,
         if reported { vec![(1, 7)] } else { vec![] }
     );
-    // Its acknowledgement ends the wait.
-    scheduler.effect_acknowledged(21 + later, &mut recorded, 1, round);
+    // The acknowledgement of the effect ends the wait.
+    scheduler.effect_acknowledged(21 + later, &mut recorded, 1, generation);
     assert_eq!(recorded.stopped, [(1, 7)]);
 }
 
@@ -84,7 +84,7 @@
         Recorded::default(),
     );
     scheduler.lease_acquired(0, 1, 9, 10_000, 10);
-    // Of a former epoch: neither extends nor ends the newer lease.
+    // A command of a previous epoch neither extends nor ends the newer lease.
     scheduler.lease_acquired(0, 1, 7, 90_000, 10);
     assert_eq!(
         (
@@ -95,12 +95,13 @@
     );
     scheduler.lease_lost(5, &mut recorded, 1, 7);
     assert_eq!(scheduler.permitted_epoch(6, 1), Some(9));
-    // A task that does not exist.
+    // Commands for a task that does not exist.
     scheduler.lease_acquired(0, 99, 1, 5, 5);
     scheduler.lease_lost(0, &mut recorded, 99, 1);
 }
 
-/// Its effect was given up by time; the late acknowledgement is not taken for one of the effect that was sent since.
+/// An effect timed out before its acknowledgement arrived. The late acknowledgement must not be counted for
+/// an effect that was sent since.
 #[test]
 fn a_late_acknowledgement_does_not_count_for_a_later_effect() {
     let (mut scheduler, mut recorded) = (
--- a/crates/tidewall-coordination/tests/wire_bytes.rs
+++ b/crates/tidewall-coordination/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of member datagrams, as recorded in `tests/oracles/wire/member-datagrams.hex` at the workspace root.
+//! The bytes of member datagrams must match `tests/oracles/wire/member-datagrams.hex` at the workspace root.
 #![allow(clippy::unwrap_used, missing_docs)]
 use tidewall_coordination::codec::DatagramItem::{self, *};
 use tidewall_coordination::codec::LeaseReply::*;
@@ -28,7 +28,7 @@
     RECORDED
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '))
-        .expect("it is recorded")
+        .expect("the datagram of this name is recorded")
 }
 
 fn keys() -> Keys {
@@ -160,7 +160,7 @@
         .collect()
 }
 
-/// The other way: each recorded datagram is authenticated and decoded to what was encoded.
+/// Each recorded datagram is authenticated and decoded to the original items.
 #[test]
 fn recorded_bytes_are_decoded_to_their_items() {
     let all: Vec<DatagramItem> = ITEMS.iter().map(|(_, item)| *item).collect();
