--- a/crates/tidewall-membership/src/gossip.rs
+++ b/crates/tidewall-membership/src/gossip.rs
@@ -1,16 +1,17 @@
-//! Updates that are still to be gossiped: those sent least often first, each a bounded number of times.
+//! The queue of updates to be gossiped. Updates that were sent least often go first, and each is sent a
+//! bounded number of times.
 use std::collections::BTreeSet;
 
-/// Urgent updates go first.
+/// The priority of an update. Urgent updates go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum GossipPriority {
     Urgent,
-    /// That a member is alive and never was suspected, as all report at a start: among hundreds of these an update about a
-    /// failure would come late.
+    /// The update says that a member is alive and was never suspected. Every member reports this at a start;
+    /// among hundreds of such updates, an update about a failure would be delayed.
     Deferrable,
 }
 
-/// The order in which updates are sent: by priority, then by how often they were sent, then by member.
+/// The order in which updates are sent: by priority, then by the number of transmissions, then by member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GossipEntry {
     priority: GossipPriority,
@@ -18,9 +19,10 @@
     member: usize,
 }
 
-/// At most one update of each member. Only its member is queued: what is sent is the newest update about it.
+/// Holds at most one update about each member. Only the member is queued: what is sent is the newest update
+/// about it.
 pub(crate) struct GossipQueue {
-    /// By member: its entry, while it is queued.
+    /// Indexed by member: its entry while it is queued.
     entries: Vec<Option<GossipEntry>>,
     order: BTreeSet<GossipEntry>,
 }
@@ -33,8 +35,9 @@
         }
     }
 
-    /// Gossip reaches all of n members when each sends an update about log2(n) times; SWIM's usual limit is three times
-    /// that. Of a member that is alive others hear from itself as well: a third is enough.
+    /// The number of times that an update is sent. Gossip reaches all of n members if each sends an update
+    /// about log2(n) times; SWIM's usual limit is three times that. That a member is alive is also learned
+    /// from the member itself, so a third is enough.
     fn transmission_limit(&self, priority: GossipPriority) -> u32 {
         let logarithm = (self.entries.len() as u32 + 1).ilog2() + 1;
         match priority {
@@ -43,7 +46,7 @@
         }
     }
 
-    /// There is a new update about that member.
+    /// Queues a new update about a member.
     pub(crate) fn enqueue(&mut self, member: usize, priority: GossipPriority) {
         let entry = GossipEntry {
             priority,
@@ -56,7 +59,7 @@
         self.order.insert(entry);
     }
 
-    /// The member whose update is to be sent next; it counts as sent.
+    /// Returns the member whose update is to be sent next, and counts the transmission.
     pub(crate) fn pop_next(&mut self) -> Option<usize> {
         let entry = self.order.pop_first()?;
         let sent = GossipEntry {
--- a/crates/tidewall-membership/src/indirect.rs
+++ b/crates/tidewall-membership/src/indirect.rs
@@ -1,20 +1,21 @@
 //! Pings that are sent on behalf of other members.
 
-/// Waiting for an ack at most; beyond, the oldest is forgotten. Bounds what requests can take of memory and of each search:
-/// a requester has one probe under way, this many are only met where a great part of the members fails at once.
+/// The maximum number of indirect pings that wait for an ack. Beyond it, the oldest is forgotten. The limit
+/// bounds the memory and the time of a search that requests can cost. Each requester has one probe in
+/// progress, so the limit is only reached if a large part of the members fails at once.
 const MAX_PENDING: usize = 64;
 
-/// One ping on behalf of another member.
+/// A ping sent on behalf of another member.
 pub(crate) struct IndirectPing {
-    /// The number of our own ping.
+    /// The sequence number of this member's own ping.
     pub(crate) seq: u32,
     pub(crate) target: usize,
-    /// Who gets the ack, and the number of its request.
+    /// The member to which the ack is forwarded, and the sequence number of its request.
     pub(crate) requester: usize,
     pub(crate) requester_seq: u32,
 }
 
-/// Those that wait for their ack, the oldest first.
+/// The indirect pings that wait for an ack, oldest first.
 #[derive(Default)]
 pub(crate) struct IndirectPings(Vec<IndirectPing>);
 
@@ -26,7 +27,7 @@
         self.0.push(ping);
     }
 
-    /// Takes out the one that an ack of that member and number answers.
+    /// Removes and returns the ping that an ack with that member and sequence number answers.
     pub(crate) fn take_acknowledged(&mut self, target: usize, seq: u32) -> Option<IndirectPing> {
         let position = self
             .0
--- a/crates/tidewall-membership/src/membership.rs
+++ b/crates/tidewall-membership/src/membership.rs
@@ -1,38 +1,39 @@
-//! The state machine of one member: probes, suspicions, and what it knows of the others.
+//! The state machine of one member: its probes, its suspicions, and its knowledge of the other members.
 use crate::gossip::{GossipPriority, GossipQueue};
 use crate::indirect::{IndirectPing, IndirectPings};
 use crate::probe_order::ProbeOrder;
 use crate::{MemberState, MemberUpdate, MembershipActions, Time};
 
-/// Members that are asked for an indirect ping; SWIM's usual number.
+/// The number of members that are asked for an indirect ping; SWIM's usual value.
 const INDIRECT_PINGS: usize = 3;
 
-/// Members that are pinged at each tick while this one leaves: few datagrams a tick, and all are reached within a few dozen
-/// ticks in a usual fleet.
+/// The number of members that are pinged at each tick while this one leaves. This keeps the number of
+/// datagrams per tick low, and in a usual fleet all members are reached within a few dozen ticks.
 const LEAVE_PINGS_PER_TICK: usize = 3;
 
-/// The local health score at most; Lifeguard's usual number.
+/// The maximum local health score; Lifeguard's usual value.
 const MAX_LOCAL_HEALTH_SCORE: u32 = 8;
 
-/// Members never heard of that are pinged in each period, until each was tried once: a start among 350 takes 44 periods.
+/// The number of unknown members that are pinged in each period until each was tried once: a start among 350
+/// members takes 44 periods.
 const DISCOVERY_PINGS_PER_PERIOD: usize = 8;
 
-/// Once each was tried, one member that is not alive is pinged every so many periods, so that two halves of a healed
-/// partition find each other.
+/// Once each member was tried, one member that is not alive is pinged every this many periods, so that the
+/// two sides of a healed partition find each other.
 const PERIODS_PER_RECOVERY_PING: u64 = 4;
 
-/// Periods that a suspicion lasts at least, times log10 of the number of members: SWIM's usual number.
+/// The minimum duration of a suspicion in periods, per log10 of the number of members; SWIM's usual value.
 const SUSPICION_PERIODS: u64 = 4;
 
-/// What is known of another member.
+/// What this member knows about another one.
 struct MemberRecord {
-    /// The newest update; `None`: it was never heard of.
+    /// The newest update; `None` if the member is unknown.
     update: Option<MemberUpdate>,
-    /// When it is declared dead, while it is suspected.
+    /// When the member is declared dead, while it is suspected.
     suspicion_ends: Time,
 }
 
-/// The probe of the current period.
+/// The probe in progress.
 struct Probe {
     target: usize,
     seq: u32,
@@ -40,13 +41,13 @@
     indirect_sent: bool,
 }
 
-/// Membership as one member sees it.
+/// The membership as seen by one member.
 pub struct Membership {
-    me: usize,
+    own_member: usize,
     incarnation: u64,
     refutation: u32,
     period: Time,
-    /// By member; our own entry is not used.
+    /// Indexed by member. This member's own entry is not used.
     members: Vec<MemberRecord>,
     gossip: GossipQueue,
     probe_order: ProbeOrder,
@@ -57,23 +58,25 @@
     next_period_at: Time,
     periods: u64,
     last_tick: Time,
-    /// Lifeguard's local health: 0 is healthy; the higher, the more likely it is that we are slow ourselves.
+    /// Lifeguard's local health: 0 is healthy; the higher the score, the more likely it is that this member
+    /// itself is slow.
     local_health_score: u32,
     leaving: bool,
-    /// How many members were tried in search of those never heard of.
+    /// The number of members tried in search of unknown ones.
     discovery_attempts: usize,
-    /// How often we suspected another member.
+    /// How often this member suspected another one.
     pub suspicions_raised: u64,
-    /// How often we refuted that we are suspected or dead.
+    /// How often this member refuted an update that called it suspect or dead.
     pub suspicions_refuted: u64,
 }
 
 impl Membership {
-    /// Member number `me` of `members`, started at wall-clock millisecond `incarnation`. `period` is the time between
-    /// probes, `first_period_in` the time until the first one, by which members that start together differ.
+    /// Creates the state of member number `own_member` of `members`, started at wall-clock millisecond
+    /// `incarnation`. `period` is the time between probes. `first_period_in` is the time until the first
+    /// probe; members that start together use different values.
     pub fn new(
         now: Time,
-        me: usize,
+        own_member: usize,
         incarnation: u64,
         members: usize,
         period: Time,
@@ -84,15 +87,15 @@
             suspicion_ends: 0,
         };
         let mut gossip = GossipQueue::new(members);
-        gossip.enqueue(me, GossipPriority::Urgent);
+        gossip.enqueue(own_member, GossipPriority::Urgent);
         Membership {
-            me,
+            own_member,
             incarnation,
             refutation: 0,
             period,
             members: (0..members).map(|_| unknown()).collect(),
             gossip,
-            probe_order: ProbeOrder::new((0..members).filter(|member| *member != me)),
+            probe_order: ProbeOrder::new((0..members).filter(|member| *member != own_member)),
             probe: None,
             indirect_pings: IndirectPings::default(),
             last_seq: 0,
@@ -107,20 +110,20 @@
         }
     }
 
-    /// The newest update about a member, ourselves included; `None`: it was never heard of.
+    /// The newest update about a member, which may be this one; `None` if the member is unknown.
     pub fn update_of(&self, member: usize) -> Option<MemberUpdate> {
-        if member == self.me {
+        if member == self.own_member {
             return Some(self.own_update());
         }
         self.members[member].update
     }
 
-    /// Whether the member is alive as far as we know; one that is suspected still is.
+    /// Whether the member is alive as far as this one knows. A suspected member still counts as alive.
     pub fn is_alive(&self, member: usize) -> bool {
         self.update_of(member).is_some_and(MemberUpdate::is_alive)
     }
 
-    /// What we report about ourselves.
+    /// The update that this member reports about itself.
     pub fn own_update(&self) -> MemberUpdate {
         MemberUpdate {
             incarnation: self.incarnation,
@@ -133,20 +136,21 @@
         }
     }
 
-    /// The number of members that are alive, ourselves included.
+    /// The number of members that are alive, including this one.
     pub fn alive_count(&self) -> usize {
         (0..self.members.len())
             .filter(|member| self.is_alive(*member))
             .count()
     }
 
-    /// What the receiver of a datagram should learn first: that it is thought suspect or dead, so that it can refute it.
+    /// The update that the receiver of a datagram should learn first: that it is considered suspect, dead or
+    /// departed, so that it can refute this.
     pub fn update_for(&self, to: usize) -> Option<MemberUpdate> {
         self.update_of(to)
             .filter(|update| update.state > MemberState::Alive)
     }
 
-    /// The next update to send along with a datagram: a member, and what is known of it.
+    /// The next update to piggyback on a datagram: a member, and what is known about it.
     pub fn next_gossip(&mut self) -> Option<(usize, MemberUpdate)> {
         loop {
             let member = self.gossip.pop_next()?;
@@ -156,19 +160,19 @@
         }
     }
 
-    /// 0 is no number of a probe, see [`MembershipActions::ping`].
+    /// Returns the next sequence number of a probe, which is never 0, see [`MembershipActions::ping`].
     fn next_seq(&mut self) -> u32 {
         self.last_seq = self.last_seq.wrapping_add(1).max(1);
         self.last_seq
     }
 
-    /// How long a probe waits for a direct ack; for indirect ones twice as long.
+    /// How long a probe waits for a direct ack. After that, it waits twice this time for indirect acks.
     fn ack_timeout(&self) -> Time {
         self.period / 3 * Time::from(1 + self.local_health_score)
     }
 
     fn suspicion_duration(&self) -> Time {
-        // log10 of the members, from their log2.
+        // Approximates log10 of the number of members from its log2.
         let logarithm = (u64::from((self.members.len() + 1).ilog2()) * 3).div_ceil(10);
         let by_health = Time::from(1 + self.local_health_score / 2);
         SUSPICION_PERIODS * logarithm.max(1) * self.period * by_health
@@ -178,7 +182,8 @@
         self.local_health_score = (self.local_health_score + 1).min(MAX_LOCAL_HEALTH_SCORE);
     }
 
-    /// The process was paused or starved for that long: what was not received meanwhile says nothing about others.
+    /// Records that the process was paused or starved for `duration`: missing messages during that time say
+    /// nothing about other members.
     pub fn process_stalled(&mut self, duration: Time) {
         if duration < self.period / 2 {
             return;
@@ -191,9 +196,9 @@
         self.local_health_worsened();
     }
 
-    /// Does what is due; to be called at least three times a period.
+    /// Performs all actions that are due. To be called at least three times per period.
     pub fn tick(&mut self, now: Time, actions: &mut impl MembershipActions) {
-        // A late tick: the process was starved, however it came about.
+        // A late tick means that the process was starved, whatever the cause.
         let late = (now - self.last_tick).saturating_sub(self.period);
         self.last_tick = now;
         self.process_stalled(late);
@@ -235,17 +240,18 @@
         }
     }
 
-    /// Pings a few members at each tick, one after the other: this process will not run much longer.
+    /// Pings a few members at each tick, in turn, because this process will end soon.
     fn announce_leave(&mut self, actions: &mut impl MembershipActions) {
         for _ in 0..LEAVE_PINGS_PER_TICK {
             let to = self.next_discovery_target();
-            if to != self.me && self.is_alive(to) {
+            if to != self.own_member && self.is_alive(to) {
                 actions.ping(to, 0);
             }
         }
     }
 
-    /// Pings members never heard of, a few each period until each was tried; then now and then one that is not alive.
+    /// Pings unknown members, a few in each period, until each was tried. After that, occasionally pings a
+    /// member that is not alive.
     fn ping_members_not_alive(&mut self, actions: &mut impl MembershipActions) {
         let all_tried = self.discovery_attempts >= self.members.len();
         let attempts = if all_tried {
@@ -255,20 +261,21 @@
         };
         for _ in 0..attempts {
             let member = self.next_discovery_target();
-            // In the first round those that are alive too: they may not know of this incarnation.
-            if member != self.me && !(all_tried && self.is_alive(member)) {
+            // The first pass includes members that are alive: they may not know this incarnation.
+            if member != self.own_member && !(all_tried && self.is_alive(member)) {
                 actions.ping(member, 0);
             }
         }
     }
 
-    /// Members in turn, from our own number on, so that not all begin with the same one.
+    /// Returns the members in turn, starting after this member's own number, so that members do not all begin
+    /// with the same one.
     fn next_discovery_target(&mut self) -> usize {
         self.discovery_attempts += 1;
-        (self.me + self.discovery_attempts) % self.members.len()
+        (self.own_member + self.discovery_attempts) % self.members.len()
     }
 
-    /// Probes the next member that is alive, unless a probe is still under way.
+    /// Probes the next member that is alive, unless a probe is in progress.
     fn start_probe(&mut self, now: Time, actions: &mut impl MembershipActions) {
         if self.probe.is_some() {
             return;
@@ -323,7 +330,7 @@
         }
     }
 
-    /// Takes in an update if it is newer than what is known.
+    /// Applies an update if it is newer than what is known.
     fn apply_update(
         &mut self,
         now: Time,
@@ -331,7 +338,7 @@
         member: usize,
         update: MemberUpdate,
     ) {
-        if member == self.me {
+        if member == self.own_member {
             self.refute(update);
             return;
         }
@@ -359,7 +366,8 @@
         }
     }
 
-    /// An update about ourselves: where this incarnation is said to be suspect or dead, a new refutation overrules that.
+    /// Handles an update about this member: if it calls this incarnation suspect or dead, a new refutation
+    /// overrides it.
     fn refute(&mut self, update: MemberUpdate) {
         let current =
             update.incarnation == self.incarnation && update.refutation >= self.refutation;
@@ -367,12 +375,13 @@
             self.refutation = update.refutation + 1;
             self.suspicions_refuted += 1;
             self.local_health_worsened();
-            self.gossip.enqueue(self.me, GossipPriority::Urgent);
+            self.gossip.enqueue(self.own_member, GossipPriority::Urgent);
         }
     }
 
-    /// Any datagram was received from that member, with its update about itself. False where it is from a former incarnation
-    /// or from no other member: the rest of the datagram is to be ignored.
+    /// Handles the update that a sender reports about itself, which every datagram contains. Returns false if
+    /// the sender is not another member or if the datagram is from a previous incarnation; the rest of the
+    /// datagram is then to be ignored.
     #[must_use]
     pub fn sender_heard(
         &mut self,
@@ -381,7 +390,7 @@
         from: usize,
         update: MemberUpdate,
     ) -> bool {
-        let Some(record) = self.members.get(from).filter(|_| from != self.me) else {
+        let Some(record) = self.members.get(from).filter(|_| from != self.own_member) else {
             return false;
         };
         if record
@@ -397,7 +406,8 @@
                 && known.refutation >= update.refutation
         });
         match unrefuted {
-            // It is alive all the same: it learns what is reported about it with the answer, and refutes it.
+            // The sender is alive nevertheless. It learns from the reply what is reported about it, and
+            // refutes it.
             Some(known) => {
                 if known.state == MemberState::Suspect {
                     self.members[from].suspicion_ends = now + self.suspicion_duration();
@@ -408,7 +418,8 @@
         true
     }
 
-    /// An update about a member that came along with a datagram. Members that do not exist are ignored.
+    /// Handles an update that was piggybacked on a datagram. Updates about members that do not exist are
+    /// ignored.
     pub fn gossip_received(
         &mut self,
         now: Time,
@@ -421,12 +432,12 @@
         }
     }
 
-    /// A member pinged us.
+    /// Handles a ping from another member.
     pub fn ping_received(&mut self, actions: &mut impl MembershipActions, from: usize, seq: u32) {
-        actions.ack(from, self.me, seq);
+        actions.ack(from, self.own_member, seq);
     }
 
-    /// A member asks us to ping `target` on its behalf.
+    /// Handles a request to ping `target` on behalf of `from`.
     pub fn indirect_ping_received(
         &mut self,
         actions: &mut impl MembershipActions,
@@ -434,7 +445,7 @@
         target: usize,
         requester_seq: u32,
     ) {
-        if target >= self.members.len() || target == self.me {
+        if target >= self.members.len() || target == self.own_member {
             return;
         }
         let seq = self.next_seq();
@@ -447,7 +458,8 @@
         actions.ping(target, seq);
     }
 
-    /// `from` reports that `alive_member`, itself or the target of an indirect ping, is alive.
+    /// Handles an ack: `from` reports that `alive_member`, which is itself or the target of an indirect ping,
+    /// is alive.
     pub fn ack_received(
         &mut self,
         actions: &mut impl MembershipActions,
@@ -467,9 +479,10 @@
         }
     }
 
-    /// This process is about to end; others learn it by what it reports about itself.
+    /// Announces the departure of this member, because its process is about to end. Others learn of it from
+    /// what it reports about itself.
     pub fn leave(&mut self) {
         self.leaving = true;
-        self.gossip.enqueue(self.me, GossipPriority::Urgent);
+        self.gossip.enqueue(self.own_member, GossipPriority::Urgent);
     }
 }
--- a/crates/tidewall-membership/src/probe_order.rs
+++ b/crates/tidewall-membership/src/probe_order.rs
@@ -1,11 +1,11 @@
-//! In which order members are probed: all once a round, in a random order that is drawn anew for each round, so that the time
-//! until a failure is noticed is bounded (SWIM, section 4.3).
+//! The order in which members are probed: every member once per round, in a random order that is drawn anew
+//! for each round, so that the time to detect a failure is bounded (SWIM, section 4.3).
 use crate::MembershipActions;
 
 pub(crate) struct ProbeOrder {
-    /// All members but ourselves.
+    /// All members except this one.
     members: Vec<usize>,
-    /// The place of the next one; 0: a round begins.
+    /// The index of the next member to probe; 0 at the start of a round.
     position: usize,
 }
 
@@ -21,7 +21,7 @@
         &self.members
     }
 
-    /// The next member to probe. There must be one.
+    /// Returns the next member to probe. Panics if there is no other member.
     pub(crate) fn next_member(&mut self, actions: &mut impl MembershipActions) -> usize {
         if self.position == 0 {
             self.shuffle(actions);
--- a/crates/tidewall-membership/src/update.rs
+++ b/crates/tidewall-membership/src/update.rs
@@ -1,20 +1,20 @@
-//! What members report about each other, and which of two reports is the newer one.
+//! What members report about each other, and which of two reports is newer.
 
-/// The state of a member, the least severe first.
+/// The state of a member, ordered by severity, least severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// Somebody got no answer; until it is declared dead it still counts as alive.
+    /// Some member got no answer from it. It still counts as alive until it is declared dead.
     Suspect,
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced its departure.
     Left,
 }
 
 impl MemberState {
-    /// All states, in their order.
+    /// All states in ascending order of severity.
     pub const ALL: [MemberState; 4] = [
         MemberState::Alive,
         MemberState::Suspect,
@@ -23,25 +23,26 @@
     ];
 }
 
-/// An update about a member. Of two the greater one is valid, so the order of the fields matters: the newer incarnation; of
-/// one incarnation the newer refutation; of one refutation the more severe state.
+/// An update about a member. The greater of two updates is valid, so the order of the fields matters: first
+/// the newer incarnation, then the newer refutation, then the more severe state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberUpdate {
-    /// Wall-clock milliseconds of the member's start.
+    /// The wall-clock time of the member's start in milliseconds.
     pub incarnation: u64,
-    /// Raised by the member itself to refute what is reported about it (SWIM calls this one the incarnation number).
+    /// Incremented by the member itself to refute what is reported about it (SWIM calls this the incarnation
+    /// number).
     pub refutation: u32,
     /// The reported state.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// The same with another state.
+    /// The same update with another state.
     pub(crate) fn with_state(self, state: MemberState) -> MemberUpdate {
         MemberUpdate { state, ..self }
     }
 
-    /// Whether it says that the member can be reached.
+    /// Whether the update says that the member is reachable.
     pub(crate) fn is_alive(self) -> bool {
         self.state <= MemberState::Suspect
     }
--- a/crates/tidewall-membership/tests/help/mod.rs
+++ b/crates/tidewall-membership/tests/help/mod.rs
@@ -1,4 +1,5 @@
-//! Members on a scripted network: datagrams take a while, may be lost, and reach whoever they are addressed to.
+//! Members on a simulated network: datagrams have a delay, may be lost, and reach the member that they are
+//! addressed to.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -7,7 +8,7 @@
 pub const PERIOD: Time = 2_000;
 const TICK: Time = 200;
 const NETWORK_DELAY: Time = 20;
-/// Updates that ride on one datagram, beside the one for its receiver.
+/// The number of updates piggybacked on one datagram, besides the one for its receiver.
 const GOSSIP_PER_DATAGRAM: usize = 6;
 
 #[derive(Clone)]
@@ -23,7 +24,7 @@
     pub left: bool,
 }
 
-/// What one member did.
+/// The recorded side effects of one member.
 #[derive(Default)]
 pub struct RecordedActions {
     outbox: Vec<(usize, Message)>,
@@ -61,10 +62,11 @@
     gossip: Vec<(usize, MemberUpdate)>,
 }
 
-/// Arrival, and the number of the datagram: two that arrive together do so in the order of their sending.
+/// Arrival time and datagram number: datagrams that arrive at the same time are delivered in the order in
+/// which they were sent.
 type Arrival = (Time, u64);
 
-/// A view of one member on another that does not match what runs.
+/// One member's view of another that does not match whether that member runs.
 #[derive(Debug, PartialEq)]
 pub struct WrongView {
     observer: usize,
@@ -79,9 +81,9 @@
     incarnations: Vec<u64>,
     pub down: Vec<bool>,
     pub paused: Vec<bool>,
-    /// From, to: nothing gets across.
+    /// Links, as (from, to), on which all datagrams are lost.
     pub cut_links: Vec<(usize, usize)>,
-    /// Datagrams lost, in thousandths.
+    /// The fraction of datagrams that are lost, in thousandths.
     pub loss_per_mille: u32,
     rng: ChaCha8Rng,
     in_flight: BTreeMap<Arrival, Datagram>,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Whether all that run see as alive just those that run.
+    /// Whether all running members agree that exactly the running members are alive.
     pub fn agree(&self) -> bool {
         self.wrong_views().is_empty()
     }
--- a/crates/tidewall-membership/tests/swim.rs
+++ b/crates/tidewall-membership/tests/swim.rs
@@ -1,4 +1,4 @@
-//! Failure detection and gossip on a scripted network.
+//! Failure detection and gossip on a simulated network.
 mod help;
 
 use help::{Loss, Network, PERIOD};
@@ -30,7 +30,7 @@
     });
     println!("{members} members: joined after {joined:?} periods, a failure noticed by all after {noticed:?}");
     assert!(joined.is_some() && noticed.is_some());
-    // Nobody else was ever declared dead.
+    // No other member was ever declared dead.
     let wrong_losses: Vec<_> = network
         .actions
         .iter()
@@ -44,7 +44,7 @@
     assert_eq!(network.wrong_views(), []);
 }
 
-/// Of 9,000 pings; wrong suspicions are refuted, and nothing rests on them.
+/// The maximum is out of 9,000 pings. Wrong suspicions are refuted, and no safety property depends on them.
 #[test_case(20, 10 ; "one in fifty datagrams lost")]
 #[test_case(100, 60 ; "one in ten")]
 #[test_case(300, 900 ; "three in ten")]
@@ -63,7 +63,7 @@
     assert_eq!(network.wrong_views(), []);
 }
 
-/// Only one way, and only between two: indirect pings are answered.
+/// The link is cut in one direction and between two members only, so indirect pings are answered.
 #[test]
 fn a_link_cut_one_way_causes_no_loss() {
     let mut network = Network::new(5, 3);
@@ -93,7 +93,8 @@
     assert_eq!(network.wrong_views(), []);
 }
 
-/// What it did not receive while it was paused says nothing about others; it is the others that lose it.
+/// Messages that a member did not receive while it was paused say nothing about other members. Only the
+/// others lose the paused member.
 #[test]
 fn a_paused_member_declares_nobody_dead() {
     let mut network = Network::new(5, 5);
@@ -107,7 +108,7 @@
     assert!(network.actions[0].losses.is_empty());
     assert!(
         network.agree(),
-        "it refutes what the others reported about it"
+        "the paused member refutes what the others reported about it"
     );
     assert!(network.members[0].suspicions_refuted > 0);
 }
@@ -142,7 +143,7 @@
         !member.sender_heard(0, actions, 1, alive(1)),
         "a former incarnation is ignored"
     );
-    // A member that does not exist.
+    // An update about a member that does not exist is ignored.
     member.gossip_received(0, actions, 7, update);
 }
 
