--- a/crates/tidewall-forecast/src/arrivals.rs
+++ b/crates/tidewall-forecast/src/arrivals.rs
@@ -1,9 +1,10 @@
-//! A member's own arrivals in one slot, by function: the space-saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient
-//! Computation of Frequent and Top-k Elements in Data Streams", 2005). While there is room for all functions the counts are
-//! exact. Afterwards a new function replaces the least counted one, and may be counted too high by at most that one's count.
+//! A member's own arrivals in one slot, by function, counted with the space-saving algorithm (Metwally,
+//! Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams", 2005). Counts
+//! are exact as long as every function has an entry. After that, a new function replaces the one with the
+//! lowest count, and its own count may be too high by at most that count.
 //!
-//! Only the first attempt of a request is to be counted: what was loaded ahead of time, or is retried, must not cause
-//! further loads.
+//! Only the first attempt of a request is to be counted: retries, and functions loaded ahead of time, must
+//! not cause further loads.
 use hashbrown::HashTable;
 use std::collections::BTreeSet;
 
@@ -18,55 +19,56 @@
     pub max_error: u32,
 }
 
-/// Position in the order of eviction: least counted first; ties by place, so that no hash decides.
+/// The position in the order of eviction: lowest count first. Ties are resolved by index, so that the order
+/// does not depend on hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     count: u32,
-    place: usize,
+    index: usize,
 }
 
-/// Counts of at most a set number of functions.
+/// The counts of a limited number of functions.
 #[derive(Debug)]
 pub struct ArrivalCounts {
     capacity: usize,
     entries: Vec<FunctionCount>,
-    /// By function: its place in `entries`.
-    places: HashTable<usize>,
+    /// The index in `entries` of each function.
+    indices: HashTable<usize>,
     eviction_order: BTreeSet<EvictionRank>,
-    /// All arrivals, exact.
+    /// The exact number of all arrivals.
     pub total: u64,
 }
 
 impl ArrivalCounts {
-    /// Room for that many functions, at least one.
+    /// Creates counts with room for `capacity` functions, at least one.
     pub fn new(capacity: usize) -> ArrivalCounts {
         ArrivalCounts {
             capacity: capacity.max(1),
             entries: Vec::new(),
-            places: HashTable::new(),
+            indices: HashTable::new(),
             eviction_order: BTreeSet::new(),
             total: 0,
         }
     }
 
-    /// Counts one arrival's first attempt; `function` is the hash of the function's name.
+    /// Counts the first attempt of one arrival. `function` is the hash of the function's name.
     pub fn record(&mut self, function: u64) {
         self.total += 1;
-        let place = match self.place_of(function) {
-            Some(place) => place,
+        let index = match self.index_of(function) {
+            Some(index) => index,
             None if self.entries.len() < self.capacity => self.append(function),
             None => self.replace_least_counted(function),
         };
-        let count = self.entries[place].count;
-        self.eviction_order.remove(&EvictionRank { count, place });
+        let count = self.entries[index].count;
+        self.eviction_order.remove(&EvictionRank { count, index });
         let count = count + 1;
-        self.entries[place].count = count;
-        self.eviction_order.insert(EvictionRank { count, place });
+        self.entries[index].count = count;
+        self.eviction_order.insert(EvictionRank { count, index });
     }
 
-    fn place_of(&self, function: u64) -> Option<usize> {
-        self.places
-            .find(function, |place| self.entries[*place].function == function)
+    fn index_of(&self, function: u64) -> Option<usize> {
+        self.indices
+            .find(function, |index| self.entries[*index].function == function)
             .copied()
     }
 
@@ -76,46 +78,46 @@
             count: 0,
             max_error: 0,
         });
-        let place = self.entries.len() - 1;
-        self.index(function, place);
-        place
+        let index = self.entries.len() - 1;
+        self.insert_index(function, index);
+        index
     }
 
     fn replace_least_counted(&mut self, function: u64) -> usize {
-        let EvictionRank { count, place } = *self
+        let EvictionRank { count, index } = *self
             .eviction_order
             .first()
-            .expect("the capacity is at least one, and all of it is used");
-        let evicted = self.entries[place].function;
-        if let Ok(entry) = self.places.find_entry(evicted, |other| *other == place) {
+            .expect("the capacity is at least one and exhausted");
+        let evicted = self.entries[index].function;
+        if let Ok(entry) = self.indices.find_entry(evicted, |other| *other == index) {
             entry.remove();
         }
-        self.entries[place] = FunctionCount {
+        self.entries[index] = FunctionCount {
             function,
             count,
             max_error: count,
         };
-        self.index(function, place);
-        place
+        self.insert_index(function, index);
+        index
     }
 
-    fn index(&mut self, function: u64, place: usize) {
+    fn insert_index(&mut self, function: u64, index: usize) {
         let entries = &self.entries;
-        self.places
-            .insert_unique(function, place, |other| entries[*other].function);
+        self.indices
+            .insert_unique(function, index, |other| entries[*other].function);
     }
 
-    /// All counts, in the order in which their places were first used.
+    /// All counts, in the order in which their entries were first used.
     pub fn entries(&self) -> &[FunctionCount] {
         &self.entries
     }
 
-    /// The count of a function; `None`: it has none.
+    /// The count of a function; `None` if it has no entry.
     pub fn get(&self, function: u64) -> Option<FunctionCount> {
-        self.place_of(function).map(|place| self.entries[place])
+        self.index_of(function).map(|index| self.entries[index])
     }
 
-    /// Bytes that the entries take, about; the table's places are taken as half used.
+    /// The approximate size of the entries in bytes, assuming that the hash table is half full.
     pub fn size_bytes(&self) -> usize {
         let entry = std::mem::size_of::<FunctionCount>()
             + std::mem::size_of::<EvictionRank>()
--- a/crates/tidewall-forecast/src/history.rs
+++ b/crates/tidewall-forecast/src/history.rs
@@ -1,81 +1,82 @@
-//! One function's past, slot by slot, over a set number of periods (days, weeks, or seconds in a test), and its stored form.
-//! A slot of which too few members reported is unknown, not empty.
+//! The history of one function by slot, over a configured number of periods (days, weeks, or seconds in a
+//! test), and its stored form. A slot for which too few members reported is unknown, not zero.
 //!
-//! The stored form, all numbers big-endian: the 8 bytes `tdwhist1`; slots per period, periods, next slot and first slot as
-//! u64; the highest count as f32; the ring of counts as f32, NaN for unknown; the xxh3 checksum of all that as u64. It is
-//! read completely or not at all.
+//! The stored form, all numbers big-endian: the 8 bytes `tdwhist1`; slots per period, periods, next slot and
+//! first slot as u64; the highest count as f32; the ring of counts as f32, with NaN for unknown; the xxh3
+//! checksum of everything before it as u64. A stored history is read completely or not at all.
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A slot whose count is not known.
+/// The count of an unknown slot.
 const UNKNOWN: f32 = f32::NAN;
 
-/// The first slot of a history to which nothing was recorded.
+/// The first slot of an empty history.
 const NO_SLOT: u64 = u64::MAX;
 
-/// Names the format and its version; another format gets another name.
+/// Identifies the format and its version. A changed format gets a different value.
 const MAGIC: &[u8; 8] = b"tdwhist1";
 
 const U64_BYTES: usize = 8;
 const F32_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 8;
-/// The magic, four whole numbers, the highest count.
+/// The size of the magic, four integers and the highest count.
 const HEADER_BYTES: usize = MAGIC.len() + 4 * U64_BYTES + F32_BYTES;
 
-/// How time is divided.
+/// The division of time into slots and periods.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryShape {
-    /// Slots in a period.
+    /// The number of slots in a period.
     pub slots_per_period: usize,
-    /// Periods that are kept.
+    /// The number of periods that are kept.
     pub periods: usize,
 }
 
 impl HistoryShape {
-    /// Slots that are kept.
+    /// The number of slots that are kept.
     pub fn slots(self) -> usize {
         self.slots_per_period * self.periods
     }
 }
 
-/// Why a stored history cannot be used. The message names the part that is wrong.
+/// The reason why a stored history cannot be used. The message names the part that is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HistoryError {
-    /// Too short for a header and a checksum.
+    /// The data is too short for a header and a checksum.
     #[error("length: cut short")]
     Truncated,
-    /// Another format, or another version of it.
+    /// The data has another format or another version of it.
     #[error("version: not tdwhist1")]
     UnknownVersion,
-    /// Some bit changed.
+    /// The checksum does not match: the data was changed.
     #[error("checksum: wrong")]
     WrongChecksum,
-    /// Written under another [`HistoryShape`].
-    #[error("period: another one than the settings'")]
+    /// The history was written with another [`HistoryShape`].
+    #[error("period: differs from the settings")]
     OtherShape,
-    /// The number of slots is not that of the shape.
-    #[error("length: not as many slots as told")]
+    /// The number of slots does not match the shape.
+    #[error("length: does not match the number of slots")]
     WrongLength,
-    /// An infinite or negative count, or a first slot after the last one.
-    #[error("slots: a number that cannot be")]
+    /// A count is infinite or negative, the highest count is not finite, or the first slot is not before the
+    /// next one.
+    #[error("slots: invalid count or first slot")]
     InvalidNumber,
 }
 
-/// The counts of one function.
+/// The history of one function's counts.
 #[derive(Clone, Debug)]
 pub struct History {
     shape: HistoryShape,
-    /// A ring: a slot's place is its number modulo the length.
+    /// A ring buffer: the index of a slot is its number modulo the length.
     counts: Vec<f32>,
-    /// The slot after the last that was recorded.
+    /// The slot after the last recorded one.
     next_slot: u64,
     /// The first slot that was ever recorded, or `NO_SLOT`.
     first_slot: u64,
-    /// The highest count of any slot, ever.
+    /// The highest count that was ever recorded for a slot.
     pub max_count: f32,
 }
 
 impl History {
-    /// All slots unknown.
+    /// Creates a history in which all slots are unknown.
     pub fn new(shape: HistoryShape) -> History {
         History {
             shape,
@@ -86,13 +87,13 @@
         }
     }
 
-    /// The slot after the last that was recorded.
+    /// The slot after the last recorded one.
     pub fn next_slot(&self) -> u64 {
         self.next_slot
     }
 
-    /// Sets a slot's count; `None` where too few members reported. Slots that were skipped are unknown. A slot may be
-    /// recorded again while it is kept; one that is not kept any more is ignored.
+    /// Sets the count of a slot; `None` if too few members reported. Slots that were skipped are unknown. A
+    /// slot may be recorded again while it is kept; a slot that is no longer kept is ignored.
     pub fn record(&mut self, slot: u64, count: Option<f32>) {
         let length = self.counts.len() as u64;
         if slot + length < self.next_slot {
@@ -101,7 +102,7 @@
         if self.first_slot == NO_SLOT {
             self.first_slot = slot;
         } else {
-            // After a clock that jumped, or a long pause, at most the whole ring is unknown.
+            // After a clock jump or a long pause, at most the whole ring becomes unknown.
             let skipped = self.next_slot.max(slot.saturating_sub(length))..slot;
             skipped.for_each(|skipped| self.counts[(skipped % length) as usize] = UNKNOWN);
         }
@@ -110,7 +111,7 @@
         self.max_count = self.max_count.max(count.unwrap_or(0.0));
     }
 
-    /// A slot's count; `None` where it is unknown or not kept.
+    /// The count of a slot; `None` if it is unknown or not kept.
     pub fn count(&self, slot: u64) -> Option<f32> {
         let length = self.counts.len() as u64;
         let kept =
@@ -118,7 +119,7 @@
         Some(self.counts[(slot % length) as usize]).filter(|count| kept && !count.is_nan())
     }
 
-    /// Complete periods since the first slot that was recorded, of those kept.
+    /// The number of complete periods since the first recorded slot, limited to those that are kept.
     pub fn complete_periods(&self) -> usize {
         if self.first_slot == NO_SLOT {
             return 0;
@@ -127,7 +128,7 @@
         slots as usize / self.shape.slots_per_period
     }
 
-    /// Appends the stored form.
+    /// Appends the stored form to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let start = out.len();
         out.extend_from_slice(MAGIC);
@@ -147,7 +148,8 @@
         out.extend_from_slice(&checksum.to_be_bytes());
     }
 
-    /// Reads the stored form of a history of that shape. On an error the caller starts with an empty history.
+    /// Decodes the stored form of a history of that shape. On an error, the caller starts with an empty
+    /// history.
     pub fn decode(bytes: &[u8], shape: HistoryShape) -> Result<History, HistoryError> {
         if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES {
             return Err(HistoryError::Truncated);
@@ -190,9 +192,9 @@
     }
 }
 
-/// The bytes from that place on, which must be there.
-fn array_at<const N: usize>(bytes: &[u8], place: usize) -> [u8; N] {
+/// The `N` bytes at the offset, which must exist.
+fn array_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
     let mut array = [0; N];
-    array.copy_from_slice(&bytes[place..place + N]);
+    array.copy_from_slice(&bytes[offset..offset + N]);
     array
 }
--- a/crates/tidewall-forecast/src/merged.rs
+++ b/crates/tidewall-forecast/src/merged.rs
@@ -1,56 +1,57 @@
-//! What all members report about one function's arrivals, slot by slot. A report says: in that slot I have, in this
-//! incarnation, counted so many so far. Of one incarnation the highest count is valid, and incarnations are added up. So
-//! reports may arrive late, twice, in any order, or by way of other members, and nothing is counted twice: a grow-only
-//! counter, one of the state-based CRDTs (Shapiro, Preguiça, Baquero, Zawirski, "Conflict-free Replicated Data Types", 2011).
+//! The reports of all members about the arrivals of one function, by slot. A report states how many arrivals
+//! one incarnation of a member has counted in a slot so far. The highest count of each incarnation is valid,
+//! and the counts of all incarnations are added. Reports may therefore arrive late, repeatedly, in any order,
+//! or by way of other members, and no arrival is counted twice. This is a grow-only counter, one of the
+//! state-based CRDTs (Shapiro, Preguiça, Baquero, Zawirski, "Conflict-free Replicated Data Types", 2011).
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one member counted in one slot so far.
+/// The number of arrivals that one incarnation of a member has counted in one slot so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CountReport {
     /// The number of the slot.
     pub slot: u64,
     /// The number of the member.
     pub member: u16,
-    /// The incarnation of the member, wall-clock milliseconds of its start.
+    /// The incarnation of the member: the wall-clock time of its start in milliseconds.
     pub incarnation: u64,
-    /// Arrivals that this incarnation counted in the slot.
+    /// The arrivals that this incarnation counted in the slot.
     pub count: u32,
 }
 
-/// Who counted; ordered by member, then by incarnation.
+/// The incarnation of a member that counted. Ordered by member, then by incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Reporter {
     member: u16,
     incarnation: u64,
 }
 
-/// A slot's arrivals as far as they were reported.
+/// The arrivals of a slot as far as they were reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotCount {
-    /// Arrivals that all members counted.
+    /// The arrivals that all members counted.
     pub arrivals: u64,
-    /// Of how many members there is a report.
+    /// The number of members that reported.
     pub members: usize,
 }
 
-/// The reports about one function, of the newest slots.
+/// The reports about one function, for the newest slots.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergedCounts {
-    /// By slot: what each incarnation of each member counted.
+    /// Indexed by slot: the count of each incarnation of each member.
     slots: BTreeMap<u64, BTreeMap<Reporter, u32>>,
-    /// Slots kept; a report of an older one is of no more use.
+    /// The number of slots that are kept. A report about an older slot is ignored.
     slots_kept: usize,
 }
 
-/// Incarnations of one member in one slot at most; beyond, the oldest one is dropped. It bounds the memory that a member
-/// which restarts again and again can take.
+/// The maximum number of incarnations of one member in one slot. Beyond it, the oldest incarnation is
+/// dropped. The limit bounds the memory used for a member that restarts repeatedly.
 const MAX_INCARNATIONS_PER_MEMBER: usize = 8;
 
-/// Bytes of a slot beside its counts, about: its number and the head of its map.
+/// The approximate size of a slot in bytes in addition to its counts: its number and the header of its map.
 const SLOT_OVERHEAD_BYTES: usize = 24;
 
 impl MergedCounts {
-    /// Keeps that many slots, at least one.
+    /// Creates empty counts that keep `slots_kept` slots, at least one.
     pub fn new(slots_kept: usize) -> MergedCounts {
         MergedCounts {
             slots: BTreeMap::new(),
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes in a report. False where its slot is too old to be kept.
+    /// Applies a report. Returns false if its slot is too old to be kept.
     pub fn apply(&mut self, report: CountReport) -> bool {
         let newest_known = self.slots.keys().next_back().copied();
         let newest = newest_known.map_or(report.slot, |known| known.max(report.slot));
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Takes in all that another one knows.
+    /// Applies all reports that `other` contains.
     pub fn merge(&mut self, other: &MergedCounts) {
         for (slot, counts) in &other.slots {
             for (reporter, count) in counts {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The arrivals of a slot; none of no member where the slot is unknown.
+    /// The arrivals of a slot; zero arrivals of zero members if the slot is unknown.
     pub fn slot(&self, slot: u64) -> SlotCount {
         let Some(counts) = self.slots.get(&slot) else {
             return SlotCount::default();
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Bytes that the counts take, about.
+    /// The approximate size of the counts in bytes.
     pub fn size_bytes(&self) -> usize {
         self.slots
             .values()
@@ -121,7 +122,7 @@
     }
 }
 
-/// Drops a member's oldest incarnation where it has too many.
+/// Drops the oldest incarnation of a member if the member has too many.
 fn drop_oldest_incarnation(slot: &mut BTreeMap<Reporter, u32>, member: u16) {
     let of_member = |incarnation| Reporter {
         member,
--- a/crates/tidewall-forecast/tests/merge.rs
+++ b/crates/tidewall-forecast/tests/merge.rs
@@ -1,4 +1,5 @@
-//! Counts merge in any order and any number of times; they are bounded; a history is read completely or not at all.
+//! Counts merge in any order and with any number of repetitions and are bounded in size. A history is decoded
+//! completely or not at all.
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,10 +10,10 @@
 use tidewall_forecast::history::{History, HistoryError, HistoryShape};
 use tidewall_forecast::merged::{CountReport, MergedCounts, SlotCount};
 
-/// Reports as five members send them, counts that rise and incarnations that follow each other; and the true arrivals by
-/// slot.
+/// Returns reports as five members send them, with increasing counts and successive incarnations, and the
+/// true number of arrivals by slot.
 fn random_reports(rng: &mut ChaCha8Rng) -> (Vec<CountReport>, BTreeMap<u64, u64>) {
-    let (mut reports, mut truth) = (Vec::new(), BTreeMap::new());
+    let (mut reports, mut true_counts) = (Vec::new(), BTreeMap::new());
     for member in 0..5 {
         let mut incarnation = 1;
         for slot in 0..6 {
@@ -20,7 +21,7 @@
             for _ in 0..rng.random_range(0..5) {
                 let more = rng.random_range(0..9);
                 count += more;
-                *truth.entry(slot).or_default() += u64::from(more);
+                *true_counts.entry(slot).or_default() += u64::from(more);
                 reports.push(CountReport {
                     slot,
                     member,
@@ -28,20 +29,20 @@
                     count,
                 });
                 if rng.random_ratio(1, 5) {
-                    // It restarts with nothing unreported, and counts from 0.
+                    // The member restarts after it has reported everything, and counts from 0.
                     (incarnation, count) = (incarnation + 1, 0);
                 }
             }
         }
     }
-    (reports, truth)
+    (reports, true_counts)
 }
 
 #[test]
 fn any_order_and_any_number_of_times_is_the_same() {
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut reports, truth) = random_reports(&mut rng);
+        let (mut reports, true_counts) = random_reports(&mut rng);
         let mut in_order = MergedCounts::new(10);
         reports.iter().for_each(|r| assert!(in_order.apply(*r)));
         let duplicates: Vec<CountReport> = reports
@@ -53,14 +54,14 @@
         reports.shuffle(&mut rng);
         let (mut first, mut second) = (MergedCounts::new(10), MergedCounts::new(10));
         for (i, report) in reports.iter().enumerate() {
-            let half = if i % 2 == 0 { &mut first } else { &mut second };
-            half.apply(*report);
+            let target = if i % 2 == 0 { &mut first } else { &mut second };
+            target.apply(*report);
         }
         first.merge(&second);
         second.merge(&first);
         first.merge(&second);
         assert_eq!((&in_order, &in_order), (&first, &second));
-        truth
+        true_counts
             .iter()
             .for_each(|(slot, count)| assert_eq!(in_order.slot(*slot).arrivals, *count));
     }
@@ -115,7 +116,8 @@
     assert!(merged.size_bytes() < 1_000);
 }
 
-/// Ten thousand functions by Zipf's law, 200,000 arrivals; room for all, and for a tenth.
+/// Counts 200,000 arrivals of ten thousand functions that follow Zipf's law, with room for all functions, a
+/// fifth and a tenth of them.
 #[test_case(10_000, 0.0 ; "room for all is exact")]
 #[test_case(2_000, 0.1 ; "room for a fifth")]
 #[test_case(1_000, 0.25 ; "room for a tenth")]
@@ -129,16 +131,16 @@
         *exact.entry(function).or_default() += 1;
     }
     assert_eq!(counts.total, 200_000);
-    // Never too low, never too high by more than it says.
+    // A count is never too low, and too high by at most its stated error.
     for entry in counts.entries() {
-        let truth = exact[&entry.function];
-        assert!(truth <= entry.count && entry.count - entry.max_error <= truth);
+        let true_count = exact[&entry.function];
+        assert!(true_count <= entry.count && entry.count - entry.max_error <= true_count);
     }
     let mut most_frequent: Vec<(u64, u32)> = exact.iter().map(|(f, c)| (*f, *c)).collect();
     most_frequent.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    let relative_error = |(function, truth): &(u64, u32)| {
+    let relative_error = |(function, true_count): &(u64, u32)| {
         counts.get(*function).map_or(1.0, |entry| {
-            f64::from(entry.count - truth) / f64::from(*truth)
+            f64::from(entry.count - true_count) / f64::from(*true_count)
         })
     };
     let worst = most_frequent[..100]
@@ -169,7 +171,7 @@
 #[test]
 fn a_history_is_decoded_as_it_was_encoded() {
     let (history, bytes) = history();
-    let decoded = History::decode(&bytes, SHAPE).expect("it is good");
+    let decoded = History::decode(&bytes, SHAPE).expect("a valid history");
     assert_eq!(
         (
             decoded.next_slot(),
@@ -189,7 +191,7 @@
     );
 }
 
-/// Cut anywhere, or any bit changed: an error, never half of it.
+/// Truncated at any length, or with any bit changed, a history yields an error and no partial result.
 #[test]
 fn a_damaged_history_is_rejected() {
     let (_, bytes) = history();
@@ -215,15 +217,15 @@
         (HistoryError::WrongChecksum, "checksum: wrong"),
         (
             HistoryError::OtherShape,
-            "period: another one than the settings'",
+            "period: differs from the settings",
         ),
         (
             HistoryError::WrongLength,
-            "length: not as many slots as told",
+            "length: does not match the number of slots",
         ),
         (
             HistoryError::InvalidNumber,
-            "slots: a number that cannot be",
+            "slots: invalid count or first slot",
         ),
     ];
     for (error, message) in messages {
@@ -242,12 +244,12 @@
     );
     history.record(1_000_000, Some(3.0));
     assert!((999_900..1_000_000).all(|slot| history.count(slot).is_none()));
-    // A clock set back far: ignored.
+    // A slot far in the past, after the clock was set back, is ignored.
     history.record(5, Some(9.0));
     assert_eq!((history.next_slot(), history.count(5)), (1_000_001, None));
 }
 
-/// `cargo test --release -p tidewall-forecast --test merge -- --ignored --nocapture`.
+/// Run with `cargo test --release -p tidewall-forecast --test merge -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn costs_at_ten_thousand_functions() {
--- a/crates/tidewall-forecast/tests/recorded.rs
+++ b/crates/tidewall-forecast/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Stored histories of an earlier build (`tests/oracles/README.md`) are read, and written again byte for byte.
+//! Histories stored by an earlier build (`tests/oracles/README.md`) are decoded, and encoded again to the
+//! same bytes.
 use tidewall_forecast::history::{History, HistoryShape};
 
 const SHAPE: HistoryShape = HistoryShape {
@@ -22,7 +23,7 @@
     bytes
 }
 
-/// Slots that are known, with their counts.
+/// Returns the known slots with their counts.
 fn known_counts(history: &History) -> Vec<(u64, f32)> {
     (0..100)
         .filter_map(|slot| history.count(slot).map(|count| (slot, count)))
@@ -32,7 +33,7 @@
 #[test]
 fn a_recorded_history_is_decoded_and_encoded_alike() {
     let bytes = recorded(include_str!("../../../tests/oracles/forecast-history.hex"));
-    let decoded = History::decode(&bytes, SHAPE).expect("it is good");
+    let decoded = History::decode(&bytes, SHAPE).expect("a valid history");
     assert_eq!(known_counts(&decoded), [(13, 1.5), (16, 250.25), (24, 7.0)]);
     assert_eq!((decoded.next_slot(), decoded.max_count), (25, 250.25));
     assert_eq!(encoded(&decoded), bytes);
@@ -57,7 +58,7 @@
     let bytes = recorded(include_str!(
         "../../../tests/oracles/forecast-history-empty.hex"
     ));
-    let decoded = History::decode(&bytes, SHAPE).expect("it is good");
+    let decoded = History::decode(&bytes, SHAPE).expect("a valid history");
     assert_eq!(known_counts(&decoded), []);
     assert_eq!((decoded.next_slot(), decoded.max_count), (0, 0.0));
     assert_eq!(encoded(&decoded), bytes);
