--- a/crates/tidewall-lease/src/lease.rs
+++ b/crates/tidewall-lease/src/lease.rs
@@ -92,7 +92,7 @@
 /// The state of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// Held by another member or by none, as far as is known here.
+    /// Held by another member or by none, as far as this member knows.
     Idle,
     /// Requested, but not yet granted by a majority.
     Claiming,
