--- a/crates/tidewall-platform/src/client_command.rs
+++ b/crates/tidewall-platform/src/client_command.rs
@@ -1,129 +1,131 @@
-//! Commands of the platform's clients: `CALL tag type fields [body]`, `CANCEL tag` and `CHECK tag` as RESP arrays. The
-//! words of the wire (`trace`, `entity`, `patience`, ...) are translated here.
+//! Commands of the platform's clients: `CALL tag type fields [body]`, `CANCEL tag` and `CHECK tag`,
+//! each a RESP array. This module translates the field names on the wire (`trace`, `entity`,
+//! `patience`, ...) to the gateway's terms.
 use crate::fields::{name_value_pairs, parse_hex16, printable, NameValue, NotNameValue};
 use crate::resp::{self, RespError};
 use thiserror::Error;
 
-/// The longest payload of a call in bytes, as the platform's page has it.
+/// Maximum length in bytes of a call's payload, from the platform's specification.
 pub const MAX_PAYLOAD: usize = 16 << 10;
 
-/// The longest verb, tag (a number of 64 bits), class, fields and payload in bytes. The fields that the page describes
-/// take less than 300 bytes; names of tenants and classes may be long, so several times that is accepted.
+/// Maximum lengths in bytes of verb, tag (a 64-bit number), class, fields and payload. The fields
+/// of the platform's specification take less than 300 bytes; names of tenants and classes may be
+/// long, so several times that is accepted.
 const MAX_LENGTHS: [usize; 5] = [16, 20, 64, 2048, MAX_PAYLOAD];
 
-/// The longest time that is accepted, an hour in milliseconds: far above any deployment's.
+/// Maximum accepted time, one hour in milliseconds: far above what any deployment uses.
 const MAX_TIME_MS: f64 = 3_600_000.0;
 
-/// The largest memory that is accepted, in MB: far above any deployment's.
+/// Maximum accepted memory size in MB: far above what any deployment uses.
 const MAX_MEMORY_MB: f64 = 1e9;
 
-/// The most lanes that are accepted: far above any deployment's.
+/// Maximum accepted number of lanes: far above what any deployment uses.
 const MAX_LANES: f64 = 1000.0;
 
-/// The longest idempotency key in bytes, as the platform's page has it.
+/// Maximum length in bytes of an idempotency key, from the platform's specification.
 const MAX_IDEMPOTENCY_KEY: usize = 64;
 
-/// A call, its texts still where they were received. Times are in milliseconds.
+/// A decoded call. Its strings borrow from the receive buffer; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallRequest<'a> {
-    /// The client's id for the request, unique among those in flight.
+    /// The client's request id, unique among the requests in flight.
     pub request_id: u64,
     /// Name of the request class.
     pub class: &'a str,
-    /// Name of the tenant; `None` where the call gives none.
+    /// Name of the tenant; `None` if the call names none.
     pub tenant: Option<&'a str>,
-    /// Idempotency key, 1 to 64 printable characters; empty where the call gives none.
+    /// Idempotency key, 1 to 64 printable characters; empty if the call has none.
     pub idempotency_key: &'a str,
-    /// The function, 16 hexadecimal digits in lower case.
+    /// The function's id, 16 lower-case hexadecimal digits.
     pub function: &'a str,
-    /// How long the client waits for the reply; above 0, at most an hour.
+    /// How long the client waits for the reply; greater than 0, at most an hour.
     pub timeout_ms: f64,
-    /// How long the execution is expected to take; 0 where unknown.
+    /// Expected execution time; 0 if unknown.
     pub cost_hint_ms: f64,
-    /// Memory that an instance of the function takes; 0 where unknown.
+    /// Memory that one instance of the function takes; 0 if unknown.
     pub memory_mb: f64,
-    /// Concurrent requests of one instance: a whole number, 1 to 1,000.
+    /// Maximum number of concurrent requests of one instance: a whole number, 1 to 1,000.
     pub lanes: f64,
-    /// How long loading an instance is expected to take; 0 where unknown.
+    /// Expected time to load an instance; 0 if unknown.
     pub load_hint_ms: f64,
-    /// Whether the client has sent this request before.
+    /// Whether the client marks this request as a retry.
     pub is_retry: bool,
-    /// What the worker is given, at most [`MAX_PAYLOAD`] bytes.
+    /// Input of the function, at most [`MAX_PAYLOAD`] bytes.
     pub payload: &'a [u8],
 }
 
-/// A command of a client.
+/// A command from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand<'a> {
-    /// Executes a function (`CALL`); has one reply.
+    /// Executes a function (`CALL`). Gets one reply.
     Call {
-        /// Names the call on its connection, from 1.
+        /// Identifies the call on its connection; at least 1.
         tag: u64,
-        /// The call. One at fault fails alone: its connection stays usable.
+        /// The decoded call. An invalid call fails alone, and its connection stays usable.
         call: Result<CallRequest<'a>, CallError>,
     },
-    /// The client stops waiting for a call (`CANCEL`); has no reply.
+    /// The client stops waiting for a call (`CANCEL`). Gets no reply.
     Cancel {
-        /// The call's tag.
+        /// Tag of the call to cancel.
         tag: u64,
     },
-    /// Asks whether the gateway serves (`CHECK`); has one reply.
+    /// Asks whether the gateway accepts requests (`CHECK`). Gets one reply.
     HealthCheck {
-        /// Names the reply.
+        /// Identifies the reply.
         tag: u64,
     },
 }
 
-/// A command at the head of a buffer.
+/// A command decoded from the start of a buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedCommand<'a> {
-    /// The command.
+    /// The decoded command.
     pub command: ClientCommand<'a>,
-    /// Its encoded length in bytes.
+    /// Encoded length of the command in bytes.
     pub length: usize,
 }
 
-/// Why bytes are no command. The connection cannot be read further.
+/// Why bytes cannot be decoded as a command. The rest of the connection's input is unreadable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// They are no array of bulk strings of the accepted sizes.
+    /// The bytes are not an array of bulk strings of the accepted sizes.
     #[error(transparent)]
     Resp(#[from] RespError),
-    /// The tag is no number from 1 to 2^64 - 1.
+    /// The tag is not a number from 1 to 2^64 - 1.
     #[error("tag: no number from 1 up")]
     Tag,
-    /// The verb is unknown, or has another number of words. Holds the verb, printable.
+    /// The verb is unknown, or has the wrong number of arguments. Holds the verb, made printable.
     #[error("verb: '{0}'")]
     UnknownVerb(String),
 }
 
-/// Why a call is at fault. It fails alone.
+/// Why a call is invalid. Only this call fails.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CallError {
-    /// A word is no UTF-8.
+    /// A part of the call is not UTF-8. Holds the part's name.
     #[error("{0}: no text")]
     NotText(&'static str),
-    /// An entry of the fields is no pair.
+    /// An entry of the fields is not a `name=value` pair.
     #[error(transparent)]
     Pair(#[from] NotNameValue),
-    /// A field that each call needs is missing.
+    /// A required field is missing.
     #[error("field {0}: missing")]
     Missing(&'static str),
-    /// An id is not 16 hexadecimal digits in lower case.
+    /// An id is not 16 lower-case hexadecimal digits.
     #[error("field {0}: not 16 hexadecimal digits")]
     NotHex(&'static str),
-    /// A figure is no plain decimal number within its range.
+    /// A number is not in plain decimal notation or is out of range.
     #[error("field {field}: not within 0 to {max}")]
     OutOfRange {
-        /// The field's name on the wire.
+        /// Name of the field on the wire.
         field: &'static str,
-        /// The largest value that is accepted.
+        /// The largest accepted value.
         max: f64,
     },
     /// The idempotency key is empty, too long or not printable.
     #[error("field nonce: not 1 to {MAX_IDEMPOTENCY_KEY} plain characters")]
     IdempotencyKey,
-    /// An entry of the extra fields is no pair.
+    /// An entry of the field `extras` is not a `name:value` pair.
     #[error("field extras: not name:value")]
     Extras,
     /// The number of lanes is 0 or has a fraction.
@@ -131,7 +133,7 @@
     Lanes,
 }
 
-/// Reads the command at the head of `bytes`; `None` while it is incomplete.
+/// Decodes the command at the start of `bytes`; `None` if it is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<DecodedCommand<'_>>, CommandError> {
     let Some(array) = resp::decode_array(bytes, &MAX_LENGTHS)? else {
         return Ok(None);
@@ -157,7 +159,7 @@
 }
 
 fn decode_tag(tag: &[u8]) -> Result<u64, CommandError> {
-    // Digits alone: the parser of numbers would take a sign too.
+    // Only digits are accepted: `parse` alone would also accept a sign.
     std::str::from_utf8(tag)
         .ok()
         .filter(|digits| digits.bytes().all(|b| b.is_ascii_digit()))
@@ -192,18 +194,18 @@
         let NameValue { name, value } = pair?;
         match name {
             "trace" => request_id = Some(parse_hex16(value).ok_or(CallError::NotHex("trace"))?),
-            "patience" => timeout_ms = Some(parse_figure("patience", value, MAX_TIME_MS)?),
+            "patience" => timeout_ms = Some(parse_number("patience", value, MAX_TIME_MS)?),
             "customer" => call.tenant = Some(value),
             "nonce" => call.idempotency_key = parse_idempotency_key(value)?,
             "entity" => {
                 parse_hex16(value).ok_or(CallError::NotHex("entity"))?;
                 call.function = value;
             }
-            "weight" => call.cost_hint_ms = parse_figure("weight", value, MAX_TIME_MS)?,
+            "weight" => call.cost_hint_ms = parse_number("weight", value, MAX_TIME_MS)?,
             "redo" => call.is_retry = value != "0",
             "route" => call.class = value,
             "extras" => decode_extras(&mut call, value)?,
-            // Fields of later versions.
+            // Unknown fields are ignored: later protocol versions may add some.
             _ => {}
         }
     }
@@ -217,17 +219,18 @@
     Ok(call)
 }
 
-/// A figure from 0 to `max` in plain decimal notation; `field` is its name on the wire.
-fn parse_figure(field: &'static str, text: &str, max: f64) -> Result<f64, CallError> {
-    // The parser of numbers would take signs, exponents, `NaN` and `inf` too.
+/// Parses a number from 0 to `max` in plain decimal notation. `field` is its name on the wire.
+fn parse_number(field: &'static str, text: &str, max: f64) -> Result<f64, CallError> {
+    // `parse` alone would also accept signs, exponents, `NaN` and `inf`.
     let is_plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse()
         .ok()
-        .filter(|figure| is_plain && *figure <= max)
+        .filter(|number| is_plain && *number <= max)
         .ok_or(CallError::OutOfRange { field, max })
 }
 
-/// The key is passed on to hosts within a line of words, so it may not hold blanks or ends of lines.
+/// Validates an idempotency key. It is passed on to hosts within a space-separated line, so it must
+/// not contain spaces or line ends.
 fn parse_idempotency_key(key: &str) -> Result<&str, CallError> {
     let is_valid = !key.is_empty()
         && key.len() <= MAX_IDEMPOTENCY_KEY
@@ -235,20 +238,20 @@
     is_valid.then_some(key).ok_or(CallError::IdempotencyKey)
 }
 
-/// The entries of the field `extras`, `name:value;name:value`.
+/// Decodes the entries of the field `extras`, `name:value;name:value`, into `call`.
 fn decode_extras(call: &mut CallRequest, extras: &str) -> Result<(), CallError> {
     for entry in extras.split(';').filter(|entry| !entry.is_empty()) {
         let (name, value) = entry.split_once(':').ok_or(CallError::Extras)?;
         match name {
-            "memory_mb" => call.memory_mb = parse_figure("memory_mb", value, MAX_MEMORY_MB)?,
-            "load_ms" => call.load_hint_ms = parse_figure("load_ms", value, MAX_TIME_MS)?,
+            "memory_mb" => call.memory_mb = parse_number("memory_mb", value, MAX_MEMORY_MB)?,
+            "load_ms" => call.load_hint_ms = parse_number("load_ms", value, MAX_TIME_MS)?,
             "lanes" => {
-                call.lanes = parse_figure("lanes", value, MAX_LANES)?;
+                call.lanes = parse_number("lanes", value, MAX_LANES)?;
                 if call.lanes < 1.0 || call.lanes.fract() != 0.0 {
                     return Err(CallError::Lanes);
                 }
             }
-            // Fields of later versions.
+            // Unknown entries are ignored: later protocol versions may add some.
             _ => {}
         }
     }
--- a/crates/tidewall-platform/src/client_reply.rs
+++ b/crates/tidewall-platform/src/client_reply.rs
@@ -1,21 +1,21 @@
 //! Replies to commands of the platform's clients.
 use crate::resp;
 
-/// What a reply says of its command.
+/// Outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// A worker answered the call (`OK`).
+    /// A worker completed the call (`OK`).
     Completed,
     /// The call was not executed and may be repeated (`BUSY`).
     Rejected {
-        /// The earliest time of the repeat in milliseconds; 0 where none is given.
+        /// Time in milliseconds before which the client should not retry; 0 if unspecified.
         retry_after_ms: u64,
     },
-    /// The call was given up or was at fault; it may have been executed (`FAILED`).
+    /// The call was abandoned or invalid; it may have been executed (`FAILED`).
     Failed,
-    /// Health check: the gateway serves (`UP`).
+    /// Reply to a health check: the gateway accepts requests (`UP`).
     Up,
-    /// Health check: the gateway shuts down (`DOWN`).
+    /// Reply to a health check: the gateway is shutting down (`DOWN`).
     Down,
 }
 
@@ -34,16 +34,17 @@
 /// The single reply to a call or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientReply<'a> {
-    /// The command's tag.
+    /// Tag of the command that this replies to.
     pub tag: u64,
-    /// What became of the command.
+    /// Outcome of the command.
     pub status: ReplyStatus,
-    /// The worker's answer; empty where there is none.
+    /// The worker's response; empty if there is none.
     pub payload: &'a [u8],
 }
 
 impl ClientReply<'_> {
-    /// Appends the reply to `out`. Without fields and payload the reply is two words.
+    /// Appends the encoded reply to `out`. A reply without fields and payload consists of tag and
+    /// status only.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let retry_after_ms = match self.status {
             ReplyStatus::Rejected { retry_after_ms } => retry_after_ms,
--- a/crates/tidewall-platform/src/config.rs
+++ b/crates/tidewall-platform/src/config.rs
@@ -1,6 +1,7 @@
-//! The configuration that the platform starts a gateway with: one JSON file. Its settings become the flat map that the
-//! scheduler reads from the bench's wire: the same names, units and forms of lists. No default is filled in here: a figure
-//! that is missing is named.
+//! The configuration that the platform starts a gateway with: one JSON file. Its settings are
+//! flattened to the map that the scheduler also reads from the bench's line protocol, with the same
+//! names, units and list formats. There are no defaults: a missing setting is an error that names
+//! it.
 use crate::fields::printable;
 use crate::notice_board::Json;
 use std::collections::BTreeMap;
@@ -10,64 +11,65 @@
 /// The configuration of one gateway.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the gateway accepts clients.
     pub listen: SocketAddr,
-    /// Seed of the gateway's random numbers.
+    /// Seed of the gateway's random number generator.
     pub seed: u64,
-    /// The notice board's address.
+    /// Address of the notice board, the discovery server.
     pub notice_board: SocketAddr,
-    /// The memory that the process may take, in MB.
+    /// Memory limit of the process in MB.
     pub memory_mb: u64,
-    /// The descriptors that the process may hold.
+    /// File descriptor limit of the process.
     pub descriptors: u64,
-    /// The gateway's index among its siblings, from 0.
+    /// Index of this gateway among the sibling gateways, from 0.
     pub gateway_index: usize,
-    /// Where datagrams of other gateways arrive; `None` where the settings do not allow them.
+    /// Address on which datagrams from other gateways are received; `None` if the settings disallow
+    /// datagrams.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of all gateways by their index; empty where the settings do not allow datagrams.
+    /// Datagram addresses of all gateways, by index; empty if the settings disallow datagrams.
     pub peers: Vec<SocketAddr>,
-    /// The settings by their full names.
+    /// The settings by their full dotted names.
     pub settings: BTreeMap<String, String>,
-    /// The notices up to now, in the form of a notice board's response.
+    /// The notices published so far, in the format of a notice board response.
     pub initial_notices: Json,
 }
 
-/// Why a configuration is refused: one line that names the field.
+/// Why a configuration is rejected. The message is one line; for a field, it names it.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file is no JSON; the text names the place in it.
+    /// The file is not valid JSON. The message holds the line and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field is missing or has another type.
+    /// A field is missing or has the wrong type.
     #[error("field {0}: missing")]
     Missing(String),
-    /// A field is missing or no whole number.
+    /// A field is missing or not a whole number.
     #[error("field {0}: missing or no number")]
     NotNumber(&'static str),
-    /// The seed is missing or no hexadecimal number of 64 bits.
+    /// The seed is missing or not a 64-bit hexadecimal number.
     #[error("field seed: missing or not hexadecimal")]
     Seed,
-    /// An address cannot be read.
+    /// An address cannot be parsed.
     #[error("field {field}: '{value}' is no address and port")]
     Address {
-        /// The field's name.
+        /// Name of the field.
         field: &'static str,
-        /// Its value, printable.
+        /// Value of the field, made printable.
         value: String,
     },
-    /// A time or count that has to be positive is under 1 or no number.
+    /// A time or count that must be at least 1 is smaller or not a number.
     #[error("field settings.{setting}: '{value}' is under 1")]
     UnderOne {
-        /// The setting's name.
+        /// Name of the setting.
         setting: &'static str,
-        /// Its value, printable.
+        /// Value of the setting, made printable.
         value: String,
     },
 }
 
-/// Settings without which no decision can be right.
+/// Settings that the scheduler cannot decide correctly without.
 const REQUIRED_SETTINGS: [&str; 11] = [
     "allowed.connect-timeout-ms",
     "allowed.keepalive-ms",
@@ -82,8 +84,8 @@
     "zones",
 ];
 
-/// Times and counts without which nothing could be sent or held: with a 0 each connection would end as it is made, or each
-/// request be rejected.
+/// Times and counts that must be at least 1. With 0, each connection would be closed as soon as it
+/// is opened, or every request be rejected.
 const POSITIVE_SETTINGS: [&str; 5] = [
     "allowed.connect-timeout-ms",
     "allowed.keepalive-ms",
@@ -92,17 +94,17 @@
     LOAD_REQUEST_TIMEOUT,
 ];
 
-/// Needed where load requests are allowed.
+/// Timeout of load requests; required if load requests are allowed.
 const LOAD_REQUEST_TIMEOUT: &str = "extra.order-timeout-ms";
 
-/// Reads a configuration; an error names the first field that is refused.
+/// Parses a configuration. An error names the first rejected field.
 pub fn parse(text: &[u8]) -> Result<PlatformConfig, ConfigError> {
     let mut json: Json = serde_json::from_slice(text)?;
-    // Not copied: it holds thousands of hosts.
+    // Moved out rather than cloned, as it holds thousands of hosts.
     let initial_notices = json.get_mut("known").map(Json::take);
     let settings = parse_settings(&json)?;
-    let is_on = |name: &str| settings.get(name).is_some_and(|value| value == "true");
-    let allows_datagrams = is_on("allowed.peers");
+    let is_enabled = |name: &str| settings.get(name).is_some_and(|value| value == "true");
+    let allows_datagrams = is_enabled("allowed.peers");
     let (mut peers, mut peer_listen) = (Vec::new(), None);
     if allows_datagrams {
         for peer in json["peers"].as_array().into_iter().flatten() {
@@ -129,13 +131,13 @@
     })
 }
 
-/// Reads the notice board's address alone, from a configuration that replaces an earlier one.
+/// Parses only the notice board's address, from a configuration that replaces an earlier one.
 pub fn parse_notice_board(text: &[u8]) -> Result<SocketAddr, ConfigError> {
     let json: Json = serde_json::from_slice(text)?;
     address_field(&json, "board")
 }
 
-/// The settings by their full names, with all that are required.
+/// Flattens the settings and checks that all required ones are there and valid.
 fn parse_settings(json: &Json) -> Result<BTreeMap<String, String>, ConfigError> {
     if !json["settings"].is_object() {
         return Err(ConfigError::Missing("settings".to_string()));
@@ -149,7 +151,7 @@
         let Some(value) = settings.get(setting) else {
             continue;
         };
-        // NaN is not positive either.
+        // Also rejects NaN.
         let is_positive = value.parse::<f64>().is_ok_and(|number| number >= 1.0);
         if !is_positive {
             return Err(ConfigError::UnderOne {
@@ -196,20 +198,22 @@
     })
 }
 
-/// A value as the bench's wire writes it within lists and pairs: blanks and commas, which separate there, become `_`.
+/// Formats a scalar as the bench's line protocol does within lists and pairs: spaces and commas,
+/// which are separators there, become `_`.
 fn scalar_text(value: &Json) -> Option<String> {
     match value {
         Json::String(text) => Some(text.replace([' ', ','], "_")),
         Json::Number(number) => Some(number.to_string()),
-        Json::Bool(on) => Some(on.to_string()),
+        Json::Bool(flag) => Some(flag.to_string()),
         _ => None,
     }
 }
 
-/// Adds `value` under `path`: fields of objects and items of lists of objects under paths of their own, with the length of
-/// such a list as `count`; lists of scalars as one value. `null` is left out.
+/// Adds `value` to `settings` under `path`. Fields of objects and elements of lists of objects get
+/// a path each, and such a list also gets its length as `count`. Lists of scalars become one value.
+/// `null` is left out.
 fn flatten(path: &str, value: &Json, settings: &mut BTreeMap<String, String>) {
-    let below = |name: &str| {
+    let child_path = |name: &str| {
         if path.is_empty() {
             name.to_string()
         } else {
@@ -219,13 +223,13 @@
     match value {
         Json::Object(fields) => {
             for (name, value) in fields {
-                flatten(&below(name), value, settings);
+                flatten(&child_path(name), value, settings);
             }
         }
         Json::Array(items) if items.iter().any(Json::is_object) => {
-            settings.insert(below("count"), items.len().to_string());
+            settings.insert(child_path("count"), items.len().to_string());
             for (index, item) in items.iter().enumerate() {
-                flatten(&below(&index.to_string()), item, settings);
+                flatten(&child_path(&index.to_string()), item, settings);
             }
         }
         Json::Array(items) => {
--- a/crates/tidewall-platform/src/descriptor_budget.rs
+++ b/crates/tidewall-platform/src/descriptor_budget.rs
@@ -1,38 +1,42 @@
-//! How many connections of each kind a gateway may hold, from the number of descriptors that it is allowed.
+//! Connection limits of a gateway, derived from the number of file descriptors that it may hold.
 
-/// The most connections of each kind.
+/// Maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Connections of clients.
+    /// Connections from clients.
     pub client_connections: usize,
     /// Connections to all workers together.
     pub worker_connections: usize,
     /// Connections to any one worker.
     pub connections_per_worker: usize,
-    /// Attempts in flight on a connection from which on another one is opened, while there may be more.
+    /// Number of attempts in flight on a connection from which on further attempts open another
+    /// connection, as long as the limits allow one.
     pub spread_threshold: usize,
 }
 
-/// Descriptors of the process itself: 3 standard streams, poll, signals, listener, 2 to the discovery server, the
-/// configuration file while it is read; that many again, rounded up, to spare.
+/// Descriptors that are not client or worker connections: 3 standard streams, poll, signals,
+/// listener, 2 to the discovery server, and the configuration file while it is read. The same
+/// number again, rounded up, is reserve.
 const PROCESS_DESCRIPTORS: usize = 24;
 
-/// Eight connections at the configured streams per connection carry more requests than any worker runs at once.
+/// Maximum connections per worker. Eight connections at the configured streams per connection carry
+/// more requests than any worker executes concurrently.
 const CONNECTIONS_PER_WORKER: usize = 8;
 
 impl DescriptorBudget {
-    /// Shares out `descriptors`. `connections_cost`: opening a connection to a worker, or holding one, is charged for.
+    /// Divides `descriptors` among the kinds of connections. `connections_cost` tells whether
+    /// opening or holding a connection to a worker is charged for.
     pub fn new(descriptors: usize, connections_cost: bool) -> DescriptorBudget {
-        // Clients' connections usually take a third of all descriptors. Half leaves as many again for those that are
-        // only accepted to be closed.
+        // Client connections usually take a third of all descriptors. A budget of half
+        // leaves room for as many again that are accepted only to be closed.
         let client_connections = (descriptors / 2)
             .saturating_sub(PROCESS_DESCRIPTORS / 2)
             .max(1);
         let worker_connections = descriptors
             .saturating_sub(client_connections + PROCESS_DESCRIPTORS)
             .max(1);
-        // Where connections are free each attempt has its own as long as the budget allows, so that a connection that
-        // fails ends one attempt only.
+        // If connections are free, each attempt gets its own as long as the limits allow, so that
+        // the failure of a connection ends only one attempt.
         let spread_threshold = if connections_cost { usize::MAX } else { 1 };
         DescriptorBudget {
             client_connections,
--- a/crates/tidewall-platform/src/fields.rs
+++ b/crates/tidewall-platform/src/fields.rs
@@ -1,22 +1,22 @@
-//! Pieces of text that several of the platform's messages share.
+//! Text formats shared by several of the platform's messages.
 use thiserror::Error;
 
 /// One entry of a `name=value,name=value` list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameValue<'a> {
-    /// What stands before the first `=`; never empty.
+    /// Text before the first `=`; never empty.
     pub name: &'a str,
-    /// What stands behind it; may be empty.
+    /// Text after the first `=`; may be empty.
     pub value: &'a str,
 }
 
-/// An entry of a `name=value` list has no `=` or no name. Holds the entry, printable.
+/// An entry of a `name=value` list has no `=` or no name. Holds the entry, made printable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("'{0}' is not name=value")]
 pub struct NotNameValue(pub String);
 
-/// The entries of a `name=value,name=value` list in their order. `-` and the empty text are lists without entries, and
-/// empty entries are skipped.
+/// Iterates over the entries of a `name=value,name=value` list in order. `-` and the empty string
+/// are empty lists, and empty entries are skipped.
 pub fn name_value_pairs(list: &str) -> impl Iterator<Item = Result<NameValue<'_>, NotNameValue>> {
     let list = if list == "-" { "" } else { list };
     list.split(',')
@@ -27,7 +27,8 @@
         })
 }
 
-/// Parses a request id or a function: exactly 16 hexadecimal digits in lower case, as they are written back unchanged.
+/// Parses a request id or a function id: exactly 16 lower-case hexadecimal digits, the form in
+/// which ids are written.
 pub fn parse_hex16(text: &str) -> Option<u64> {
     let canonical =
         text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
@@ -36,7 +37,8 @@
         .flatten()
 }
 
-/// Foreign text for a log line or an error: its first 40 characters, control characters as `?`.
+/// Makes untrusted text safe for a log line or an error message: its first 40 characters, with
+/// control characters replaced by `?`.
 pub fn printable(text: &str) -> String {
     text.chars()
         .take(40)
--- a/crates/tidewall-platform/src/host_lines.rs
+++ b/crates/tidewall-platform/src/host_lines.rs
@@ -1,67 +1,69 @@
-//! Lines to the platform's hosts, which are the gateway's workers, and the hosts' answers. The words of the wire (`go`,
-//! `kind`, `res`, `rif`, ...) are translated here. An answer that cannot be read ends its connection: where one length
-//! does not fit, the start of the next answer cannot be known.
+//! Requests to the platform's hosts, which are the gateway's workers, and the hosts' answers, as
+//! lines of text. This module translates the words on the wire (`go`, `kind`, `res`, `rif`, ...) to
+//! the gateway's terms. An answer that cannot be decoded ends its connection: after a wrong length
+//! the start of the next answer is unknown.
 use crate::fields::{name_value_pairs, parse_hex16, printable, NameValue, NotNameValue};
 use std::io::Write;
 use thiserror::Error;
 
-/// The longest line of an answer in bytes, its end included: id, status, fields and length take less than 200, and load
-/// reports may add some.
+/// Maximum length in bytes of an answer's line, including its end. Id, status, fields and length
+/// take less than 200, and load reports may add to that.
 const MAX_LINE: usize = 1024;
 
-/// The longest payload of an answer in bytes: sixteen times what a client may send. A longer one is refused as its length
-/// is read.
+/// Maximum length in bytes of an answer's payload: sixteen times what a client may send. A larger
+/// one is rejected as soon as its length is decoded.
 pub const MAX_ANSWER_PAYLOAD: usize = 256 << 10;
 
-/// The gateway's own call ids begin with this, so that none looks like a request id, which is hexadecimal.
+/// Prefix of the gateway's own call ids. It is not a hexadecimal digit, so no call id can be taken
+/// for a request id.
 const CALL_ID_PREFIX: char = 't';
 
-/// What a host is asked to do.
+/// A request to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRequest<'a> {
-    /// Execute a request (`go`); answered under the request's id.
+    /// Executes a request (`go`). The answer carries the request id.
     Attempt {
-        /// The request's id.
+        /// Id of the request.
         request_id: u64,
         /// Name of the request class.
         class: &'a str,
-        /// The function, 16 hexadecimal digits.
+        /// The function's id, 16 hexadecimal digits.
         function: &'a str,
         /// How long the gateway waits for the answer, in milliseconds.
         timeout_ms: u64,
-        /// Idempotency key; empty where there is none.
+        /// Idempotency key; empty if there is none.
         idempotency_key: &'a [u8],
-        /// What the function is given.
+        /// Input of the function.
         payload: &'a [u8],
     },
-    /// Stop executing a request (`halt`); not answered.
+    /// Stops the execution of a request (`halt`). Not answered.
     Cancel {
-        /// The request's id.
+        /// Id of the request.
         request_id: u64,
     },
-    /// Say how it is and how full (`stat`); answered under the call's id.
+    /// Asks for the host's health and load (`stat`). The answer carries the call id.
     HealthCheck {
         /// The gateway's own number for this call.
         call_id: u64,
     },
-    /// Keep instances of a function loaded (`stage`); answered under the call's id.
+    /// Keeps instances of a function loaded (`stage`). The answer carries the call id.
     LoadInstances {
         /// The gateway's own number for this call.
         call_id: u64,
-        /// The function, 16 hexadecimal digits.
+        /// The function's id, 16 hexadecimal digits.
         function: &'a str,
-        /// How many instances.
+        /// Number of instances to keep loaded.
         instances: u32,
     },
-    /// Unload a function (`purge`); not answered.
+    /// Unloads a function (`purge`). Not answered.
     Unload {
-        /// The function, 16 hexadecimal digits.
+        /// The function's id, 16 hexadecimal digits.
         function: &'a str,
     },
 }
 
 impl HostRequest<'_> {
-    /// Appends the line, and with an attempt its payload, to `out`.
+    /// Appends the encoded line to `out`, followed by the payload if this is an attempt.
     pub fn encode(&self, out: &mut Vec<u8>) {
         // Writing to a `Vec` cannot fail.
         let _ = match self {
@@ -105,28 +107,28 @@
 /// What an answer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerId {
-    /// The attempt of this request.
+    /// The attempt at the request with this id.
     Request(u64),
-    /// The health check or load request of this number.
+    /// The health check or load request with this call id.
     Call(u64),
 }
 
-/// The outcome that an answer states.
+/// Outcome that an answer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
-    /// Done (`ok`).
+    /// Completed (`ok`).
     Completed,
     /// Not executed: no instance of the function is loaded (`nothing`).
     Miss,
-    /// Not executed: the host takes no more (`refused`).
+    /// Not executed: the host accepts no more requests (`refused`).
     AtCapacity,
-    /// Failed, and may have been executed (`error`).
+    /// Failed; may have been executed (`error`).
     Failed,
-    /// Not executed, as its time had passed or it had been cancelled (`stale`).
+    /// Not executed, because its time had passed or it had been cancelled (`stale`).
     Discarded,
-    /// Health check: well (`yes`).
+    /// Answer to a health check: the host is healthy (`yes`).
     Healthy,
-    /// Health check: not well (`no`).
+    /// Answer to a health check: the host is unhealthy (`no`).
     Unhealthy,
 }
 
@@ -144,7 +146,7 @@
         })
     }
 
-    /// The status's word on the wire.
+    /// Returns the status's word on the wire.
     pub fn wire_text(self) -> &'static str {
         match self {
             AnswerStatus::Completed => "ok",
@@ -158,15 +160,15 @@
     }
 }
 
-/// What an answer says of the function's instance (field `res`).
+/// State of the function's instance as an answer reports it (field `res`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InstanceNote {
-    /// Nothing.
+    /// The answer has no such field.
     #[default]
     NotReported,
-    /// An instance was loaded (`hit`).
+    /// An instance was already loaded (`hit`).
     Loaded,
-    /// An instance was started for it (`spawn`).
+    /// An instance was started for the request (`spawn`).
     Started,
     /// An instance is being started (`pending`).
     Starting,
@@ -187,17 +189,17 @@
     }
 }
 
-/// A host's load as it reports it (field `gauges`).
+/// Load that a host reports (field `gauges`).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight (`rif`); 0 where not reported.
+    /// Requests in flight (`rif`); 0 if not reported.
     pub requests_in_flight: f64,
-    /// Busy cores (`busy`); 0 where not reported.
+    /// Busy cores (`busy`); 0 if not reported.
     pub busy_cores: f64,
 }
 
 impl LoadReport {
-    /// Reads `name:number;name:number`. Gauges of other names are checked and skipped.
+    /// Parses `name:number;name:number`. Unknown gauges are validated and ignored.
     pub fn parse(gauges: &str) -> Result<LoadReport, HostLineError> {
         let mut report = LoadReport::default();
         for gauge in parse_gauges(gauges) {
@@ -212,16 +214,16 @@
     }
 }
 
-/// One figure of a load report.
+/// One gauge of a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gauge<'a> {
-    /// Its name on the wire.
+    /// Name of the gauge on the wire.
     pub name: &'a str,
-    /// Its value, finite.
+    /// Value of the gauge; finite.
     pub value: f64,
 }
 
-/// The figures of a load report in their order; an error names the entry.
+/// Iterates over the gauges of a load report in order. An error names the entry.
 pub fn parse_gauges(gauges: &str) -> impl Iterator<Item = Result<Gauge<'_>, HostLineError>> {
     gauges
         .split(';')
@@ -237,79 +239,80 @@
         })
 }
 
-/// One answer, its texts still where they were received.
+/// A decoded answer. Its payload borrows from the receive buffer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostAnswer<'a> {
-    /// What it belongs to; perhaps to nothing that is in flight.
+    /// What the answer belongs to. That need not be in flight any more.
     pub id: AnswerId,
-    /// The outcome.
+    /// Outcome that the answer reports.
     pub status: AnswerStatus,
-    /// What is known of the function's instance.
+    /// State of the function's instance.
     pub instance: InstanceNote,
-    /// Requests of the same function that the host had when it answered (`queue_fn`); 0 where not reported.
+    /// Requests of the same function that the host had when it answered (`queue_fn`); 0 if not
+    /// reported.
     pub concurrent_requests: u32,
-    /// Instances that are loaded, in answer to a load request (`copies`); 0 where not reported.
+    /// Number of loaded instances, in the answer to a load request (`copies`); 0 if not reported.
     pub instances: u32,
-    /// The host's load, where reported.
+    /// Load of the host, if reported.
     pub load: Option<LoadReport>,
-    /// What the function gave back.
+    /// Output of the function.
     pub payload: &'a [u8],
 }
 
-/// An answer at the head of a buffer.
+/// An answer decoded from the start of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DecodedAnswer<'a> {
-    /// The answer; `None` where its id is none that a gateway gives, so that it belongs to nothing.
+    /// The answer; `None` if its id is not one that a gateway assigns.
     pub answer: Option<HostAnswer<'a>>,
-    /// Its encoded length in bytes.
+    /// Encoded length of the answer in bytes.
     pub length: usize,
 }
 
-/// Why a host's answer is refused. Its connection ends.
+/// Why a host's answer is rejected. Its connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HostLineError {
-    /// The line is longer than any answer's.
+    /// The line is longer than `MAX_LINE`.
     #[error("line: too long")]
     LineTooLong,
     /// The line ends without a carriage return.
     #[error("line: ends without CR")]
     LineEnd,
-    /// The line is no UTF-8.
+    /// The line is not UTF-8.
     #[error("line: no text")]
     LineNotText,
-    /// The line is not `id status [fields [length]]`. Holds it, printable.
+    /// The line is not of the form `id status [fields [length]]`. Holds the line, made printable.
     #[error("line: '{0}'")]
     LineForm(String),
-    /// The payload's length is beyond any number.
+    /// The payload's length does not fit in a `usize`.
     #[error("length: out of range")]
     LengthOutOfRange,
     /// The payload is longer than [`MAX_ANSWER_PAYLOAD`]. Holds its length in bytes.
     #[error("length: {0} bytes, at most {MAX_ANSWER_PAYLOAD}")]
     PayloadTooLong(usize),
     /// The payload does not end where its length says.
-    #[error("length: does not fit")]
+    #[error("length: does not match the payload")]
     LengthMismatch,
-    /// An entry of the fields is no pair.
+    /// An entry of the fields is not a `name=value` pair.
     #[error(transparent)]
     Pair(#[from] NotNameValue),
-    /// A count is no number from 0 to 2^32 - 1. Holds the field's name on the wire.
+    /// A count is not a number from 0 to 2^32 - 1. Holds the name of the field on the wire.
     #[error("field {0}: no number")]
     NotNumber(&'static str),
-    /// A gauge is not a name and a finite number. Holds the entry, printable.
+    /// A gauge is not a name and a finite number. Holds the entry, made printable.
     #[error("field gauges: '{0}' is not name:number")]
     Gauge(String),
-    /// The field `res` has an unknown word, held printable.
+    /// The field `res` has an unknown value. Holds the value, made printable.
     #[error("field res: '{0}'")]
     UnknownInstanceNote(String),
-    /// The status is an unknown word, held printable.
-    #[error("word: '{0}'")]
+    /// The status is unknown. Holds the status, made printable.
+    #[error("status: '{0}'")]
     UnknownStatus(String),
-    /// An attempt is answered like a health check. Holds the status's word.
-    #[error("word: '{0}' for a launch")]
+    /// An attempt is answered with a health check's status. Holds the status's word on the wire.
+    #[error("status: '{0}' in the answer to an attempt")]
     HealthStatusForAttempt(&'static str),
 }
 
-/// The fields of an answer; those of other names are skipped.
+/// The known fields of an answer; others are ignored.
 #[derive(Default)]
 struct AnswerFields<'a> {
     instance: &'a str,
@@ -336,7 +339,7 @@
     }
 }
 
-/// The parts of an answer's line.
+/// The parts of an answer's first line.
 struct AnswerLine<'a> {
     id: &'a str,
     status: &'a str,
@@ -355,7 +358,7 @@
             return Err(bad_form());
         };
         let (fields, length) = (word().unwrap_or("-"), word().unwrap_or("0"));
-        // Digits alone: the parser of numbers would take a sign too.
+        // Only digits are accepted: `parse` alone would also accept a sign.
         if words.next().is_some() || !length.bytes().all(|b| b.is_ascii_digit()) {
             return Err(bad_form());
         }
@@ -381,7 +384,7 @@
     }
 }
 
-/// Reads the answer at the head of `bytes`; `None` while it is incomplete.
+/// Decodes the answer at the start of `bytes`; `None` if it is incomplete.
 pub fn decode(bytes: &[u8]) -> Result<Option<DecodedAnswer<'_>>, HostLineError> {
     let Some(end) = memchr::memchr(b'\n', &bytes[..bytes.len().min(MAX_LINE)]) else {
         return if bytes.len() >= MAX_LINE {
@@ -399,7 +402,8 @@
         .strip_suffix(b"\r\n")
         .ok_or(HostLineError::LengthMismatch)?;
     let fields = AnswerFields::parse(line.fields)?;
-    // An answer under another id is read to its end and belongs to nothing, whatever it says.
+    // An answer with an id that no gateway assigns is skipped as a whole, even if its status or
+    // gauges are invalid.
     let Some(id) = line.answer_id() else {
         return Ok(Some(DecodedAnswer {
             answer: None,
--- a/crates/tidewall-platform/src/lib.rs
+++ b/crates/tidewall-platform/src/lib.rs
@@ -1,12 +1,13 @@
-//! The platform's protocol without I/O. Decoders are given what was received so far and give back one message, its texts
-//! still where they lie, or `None` while it is incomplete; lengths are bounded before anything is waited for. Encoders
-//! append to a buffer. The platform's own words stand in these modules and in settings only.
+//! The platform's protocol, without I/O. Decoders take the bytes received so far and return one
+//! message, whose strings borrow from these bytes, or `None` while it is incomplete. They check
+//! lengths before they wait for the content. Encoders append to a buffer. The platform's own terms
+//! appear only in these modules and in settings.
 //!
 //! - [`client_command`], [`client_reply`]: commands of clients and their replies, over [`resp`];
 //! - [`host_lines`]: requests to hosts, the gateway's workers, and their answers;
 //! - [`notice_board`]: the discovery server, long polls over HTTP;
 //! - [`config`]: the configuration that a gateway starts with;
-//! - [`descriptor_budget`]: how many connections of each kind a gateway may hold.
+//! - [`descriptor_budget`]: connection limits of a gateway.
 pub mod client_command;
 pub mod client_reply;
 pub mod config;
--- a/crates/tidewall-platform/src/notice_board.rs
+++ b/crates/tidewall-platform/src/notice_board.rs
@@ -1,35 +1,36 @@
-//! The platform's notice board, which is the gateway's discovery server: long polls over HTTP/1.1 (RFC 9112), answers in
-//! JSON. A response is used complete or not at all. The words of the wire (`rev`, `pool`, `servers`, ...) are translated
-//! here.
+//! The platform's notice board, which is the gateway's discovery server: long polls over HTTP/1.1
+//! (RFC 9112) with JSON responses. A response is used completely or not at all. This module
+//! translates the names on the wire (`rev`, `pool`, `servers`, ...) to the gateway's terms.
 use crate::fields::printable;
 pub use serde_json::Value as Json;
 use std::io::Write;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The longest head of a response in bytes.
+/// Maximum length of a response's head in bytes.
 const MAX_HEAD: usize = 8 << 10;
 
-/// The most header lines of a response.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
 
-/// The longest body of a response in bytes, 16 MiB. A list of 4,096 hosts takes some 800 kB; after a long silence of the board
-/// a response holds all that changed since, in a release a list of the half of them every second.
+/// Maximum length of a response's body in bytes, 16 MiB. A list of 4,096 hosts takes about 800 kB.
+/// After the board was silent for a long time, a response holds all changes since then: during a
+/// release, a list of half the hosts for every second.
 pub const MAX_BODY: usize = 16 << 20;
 
-/// A long poll: answered when there are notices behind `revision`, or after `wait_ms`.
+/// A long poll: the board answers when there are notices after `revision`, or after `wait_ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollRequest<'a> {
-    /// The board's address, for the header `Host`.
+    /// Address of the board, for the `Host` header.
     pub host: &'a str,
-    /// The last revision that is known here; 0 asks for all.
+    /// The last revision that the gateway knows; 0 asks for all notices.
     pub revision: u64,
     /// How long the board may wait for a notice, in milliseconds.
     pub wait_ms: u64,
 }
 
 impl PollRequest<'_> {
-    /// Appends the request to `out`.
+    /// Appends the encoded request to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let PollRequest {
             host,
@@ -44,71 +45,71 @@
     }
 }
 
-/// A field that a list of hosts or a notice lacks, or that has another type.
+/// What is wrong with a missing or mistyped field of a host list or notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FieldProblem {
-    /// It is no whole number from 0 up.
+    /// The field is not a whole number from 0 up.
     #[error("no number")]
     NotNumber,
-    /// It is no array.
+    /// The field is not an array.
     #[error("no list")]
     NotList,
-    /// It is no boolean.
+    /// The field is not a boolean.
     #[error("neither true nor false")]
     NotBoolean,
-    /// It is no string.
+    /// The field is not a string.
     #[error("no text")]
     NotText,
 }
 
-/// Why a response of the board is refused. Nothing of it is used.
+/// Why a response of the board is rejected. Nothing of it is used.
 #[derive(Debug, Error)]
 pub enum NoticeBoardError {
-    /// The head is no HTTP.
+    /// The head is not valid HTTP.
     #[error("head: {0}")]
     Head(#[source] httparse::Error),
-    /// The head is longer than any response's.
+    /// The head is longer than `MAX_HEAD`.
     #[error("head: too long")]
     HeadTooLong,
-    /// The status is not 200.
+    /// The status is not 200. Holds the status.
     #[error("status: {0}")]
     Status(u16),
-    /// The transfer coding is not `chunked`. Holds it.
+    /// The transfer coding is not `chunked`. Holds the coding.
     #[error("transfer-encoding: {0}")]
     TransferEncoding(String),
-    /// The length is no number.
+    /// The content length is not a number.
     #[error("content-length: no number")]
     ContentLengthNotNumber,
-    /// There is no length, and the body is not chunked.
+    /// There is no content length, and the body is not chunked.
     #[error("content-length: missing")]
     ContentLengthMissing,
-    /// The body is too long. Holds its length in bytes.
+    /// The body is longer than [`MAX_BODY`]. Holds its length in bytes.
     #[error("content-length: {0} is too much")]
     ContentTooLong(usize),
-    /// A chunk's size is no hexadecimal number.
+    /// The size of a chunk is not a hexadecimal number.
     #[error("chunk: no size")]
     ChunkSize,
-    /// The chunks together are too long.
+    /// The chunks together are longer than [`MAX_BODY`].
     #[error("chunk: too much")]
     ChunksTooLong,
     /// A chunk does not end where its size says.
     #[error("chunk: longer than its size")]
     ChunkUnterminated,
-    /// The body is no JSON; the text names the place in it.
+    /// The body is not valid JSON. The message holds the line and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field is missing or has another type.
+    /// A field is missing or has the wrong type.
     #[error("field {field}: {problem}")]
     Field {
-        /// The field's path on the wire.
+        /// Path of the field on the wire.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         problem: FieldProblem,
     },
-    /// A host's state is none of those known. Holds it, printable.
+    /// A host's state is unknown. Holds the state, made printable.
     #[error("field servers.state: '{0}'")]
     UnknownState(String),
-    /// A host's address is no address and port. Holds it, printable.
+    /// A host's address is not an IP address and port. Holds the address, made printable.
     #[error("field servers.addr: '{0}'")]
     Address(String),
 }
@@ -119,18 +120,18 @@
     }
 }
 
-/// A response at the head of a buffer.
+/// A response decoded from the start of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollResponse {
-    /// Its encoded length in bytes.
+    /// Encoded length of the response in bytes.
     pub length: usize,
-    /// Whether another request may follow on the connection.
+    /// Whether the connection can be used for another request.
     pub keep_alive: bool,
-    /// Its body, transfer coding removed.
+    /// The body, with the transfer coding removed.
     pub body: Vec<u8>,
 }
 
-/// How a response's body ends.
+/// How the end of a response's body is found.
 enum BodyFraming {
     Length(usize),
     Chunked,
@@ -161,7 +162,7 @@
     std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
-/// Reads the response at the head of `bytes`; `None` while it is incomplete.
+/// Decodes the response at the start of `bytes`; `None` if it is incomplete.
 pub fn decode_response(bytes: &[u8]) -> Result<Option<PollResponse>, NoticeBoardError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -197,7 +198,7 @@
 }
 
 struct Body {
-    /// Its encoded length in bytes.
+    /// Encoded length of the body in bytes.
     length: usize,
     content: Vec<u8>,
 }
@@ -229,19 +230,19 @@
     }
 }
 
-/// A response's body as JSON; an error names the place in it.
+/// Parses a response's body as JSON. An error holds the line and column.
 pub fn parse_json(body: &[u8]) -> Result<Json, NoticeBoardError> {
     Ok(serde_json::from_slice(body)?)
 }
 
-/// What a host's entry says of its use.
+/// State of a host, as its entry gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
     /// In use (`up`).
     Up,
-    /// Gets nothing new (`draining`).
+    /// Gets no new requests (`draining`).
     Draining,
-    /// Gone (`removed`).
+    /// Removed from the list (`removed`).
     Removed,
 }
 
@@ -256,24 +257,25 @@
     }
 }
 
-/// One host of a list, its texts still where they were read.
+/// One host of a list. Its strings borrow from the parsed JSON.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostEntry<'a> {
-    /// Its name.
+    /// Name of the host.
     pub id: &'a str,
-    /// Its address and port; may be empty where it is removed.
+    /// IP address and port; may be empty for a removed host.
     pub address: &'a str,
-    /// Its zone; may be empty where it is removed.
+    /// Zone of the host; may be empty for a removed host.
     pub zone: &'a str,
-    /// The kind of its machine; may be empty where it is removed.
+    /// Machine type; may be empty for a removed host.
     pub machine: &'a str,
-    /// Its cell; 0 where not given.
+    /// Cell of the host; 0 if missing.
     pub cell: u64,
-    /// Its state.
+    /// State of the host.
     pub state: HostState,
-    /// Its relative capacity; 1 where not given.
+    /// Relative capacity; 1 if missing.
     pub weight: f64,
-    /// When it started, Unix time in milliseconds; 0 long ago or where not given.
+    /// Start time of the host, Unix time in milliseconds; 0 if it started long ago or the field is
+    /// missing.
     pub started_ms: u64,
 }
 
@@ -285,7 +287,7 @@
                 .ok_or(NoticeBoardError::field(field, FieldProblem::NotText))
         };
         let state = HostState::from_wire(text("state", "servers.state")?)?;
-        // A host that is removed may be given by its id alone.
+        // An entry of a removed host may consist of id and state only.
         let text_unless_removed = |name: &str, field: &'static str| match state {
             HostState::Removed => Ok(json[name].as_str().unwrap_or("")),
             _ => text(name, field),
@@ -302,7 +304,7 @@
         })
     }
 
-    /// The host's address as a number; `None` for a host that is removed and has none that can be read.
+    /// Parses the host's address; `None` for a removed host without a valid one.
     pub fn socket_address(&self) -> Result<Option<SocketAddr>, NoticeBoardError> {
         match self.address.parse() {
             Ok(address) => Ok(Some(address)),
@@ -312,29 +314,31 @@
     }
 }
 
-/// A list of hosts that one notice holds.
+/// A list of hosts from one notice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostList<'a> {
-    /// The notice's revision.
+    /// Revision of the notice.
     pub revision: u64,
-    /// Whether hosts that it does not name are gone; otherwise it names those that changed.
+    /// Whether the list is complete, so that hosts missing from it are gone. Otherwise it holds
+    /// only the hosts that changed.
     pub complete: bool,
-    /// The hosts.
+    /// The listed hosts.
     pub hosts: Vec<HostEntry<'a>>,
 }
 
-/// The notices behind a revision.
+/// The notices after a revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NoticeUpdate<'a> {
-    /// The last revision that is known now.
+    /// The last revision that is known after these notices.
     pub revision: u64,
-    /// The lists, in the order of their revisions.
+    /// The lists, ordered by revision.
     pub lists: Vec<HostList<'a>>,
 }
 
-/// Reads the notices behind `last_revision`. `None` where notices between it and the response's revision are missing, or
-/// the revisions went back: then a complete list is to be asked for. With `last_revision` 0 everything was asked for, and
-/// gaps are accepted.
+/// Decodes the notices after `last_revision`. Returns `None` if notices between it and the
+/// response's revision are missing, or if the response's revision is lower; the caller then has to
+/// ask for a complete list. A `last_revision` of 0 means that everything was asked for, and gaps
+/// are accepted.
 pub fn decode_notices(
     json: &Json,
     last_revision: u64,
@@ -355,7 +359,8 @@
         if is_new {
             revisions.push(notice_revision);
         }
-        // Notices of other kinds may be there. Old ones are checked too.
+        // Notices of other kinds have no `pool` and are ignored. Lists in old notices are validated
+        // too, but not used.
         if let Some(pool) = notice.get("pool") {
             let list = decode_list(pool, notice_revision)?;
             if is_new {
@@ -366,7 +371,7 @@
     lists.sort_by_key(|list| list.revision);
     revisions.sort_unstable();
     revisions.dedup();
-    // A complete list makes up for all that was before it.
+    // A complete list replaces all earlier notices, so only the later ones must be gapless.
     let base = lists
         .iter()
         .rfind(|list| list.complete)
--- a/crates/tidewall-platform/src/resp.rs
+++ b/crates/tidewall-platform/src/resp.rs
@@ -1,20 +1,21 @@
-//! The part of RESP (Redis serialization protocol) that the platform's clients use: arrays of bulk strings, and simple
-//! errors. A parser of the registry was not taken, since it buffers a whole bulk string before its length can be judged;
-//! here a length is judged as soon as it is read.
+//! The part of RESP (Redis serialization protocol) that the platform's clients use: arrays of bulk
+//! strings, and simple errors. Existing RESP crates buffer a whole bulk string before its length
+//! can be checked; this decoder checks a length as soon as its header is complete.
 use std::fmt;
 use std::io::Write;
 use thiserror::Error;
 
-/// The longest line that holds a count or a length, without its end: the marker and a number of 64 bits.
+/// Maximum length of a line that holds a count or a length, without its end: the marker and a
+/// 64-bit number.
 const MAX_HEADER: usize = 21;
 
-/// The most digits of a number of 64 bits.
+/// Maximum number of decimal digits of a 64-bit number.
 const MAX_DIGITS: usize = 20;
 
-/// The parts of a command, as errors name them.
+/// A part of an encoded command, as error messages name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RespPart {
-    /// The array's header.
+    /// The header of the array.
     Array,
     /// A bulk string.
     BulkString,
@@ -38,24 +39,25 @@
     }
 }
 
-/// Why bytes are no array of bulk strings, or not one of the size that is accepted. The stream cannot be read further.
+/// Why bytes are not an array of bulk strings of the accepted sizes. The rest of the stream is
+/// unreadable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RespError {
-    /// A part does not begin with its marker.
+    /// A part does not start with its marker.
     #[error("{0}: '{marker}' expected", marker = .0.marker())]
     MarkerExpected(RespPart),
-    /// A count or a length is no number from 0 up, or its line does not end.
+    /// A count or a length is not a number from 0 up, or its line does not end.
     #[error("{0}: no number")]
     NotNumber(RespPart),
-    /// The array has another number of bulk strings than any command.
+    /// The number of bulk strings is one that no command has.
     #[error("array: {0} words")]
     ArrayLength(usize),
-    /// A bulk string is longer than this one may be.
+    /// A bulk string is longer than the limit at its position.
     #[error("word: {length} bytes, at most {max}")]
     BulkStringTooLong {
-        /// The length that its header gives, in bytes.
+        /// The length from its header, in bytes.
         length: usize,
-        /// The most that is accepted at its place, in bytes.
+        /// The maximum length at its position, in bytes.
         max: usize,
     },
     /// A bulk string does not end where its header says.
@@ -63,23 +65,24 @@
     BulkStringUnterminated,
 }
 
-/// An array of bulk strings at the head of a buffer.
+/// An array of bulk strings decoded from the start of a buffer.
 pub struct RespArray<'a, const MAX: usize> {
-    /// The bulk strings, still where they were received; empty from `count` on.
+    /// The bulk strings, borrowed from the receive buffer; empty from `count` on.
     pub items: [&'a [u8]; MAX],
-    /// How many bulk strings there are.
+    /// Number of bulk strings.
     pub count: usize,
-    /// The encoded length of the whole array in bytes.
+    /// Encoded length of the whole array in bytes.
     pub length: usize,
 }
 
-/// A count or a length with the length of its own line.
+/// A count or a length.
 struct Header {
     value: usize,
     length: usize,
 }
 
-/// Reads a number on a line of its own behind the part's marker; `None` while the line is incomplete.
+/// Decodes the number on the line that starts with the part's marker; `None` if the line is
+/// incomplete.
 fn decode_header(bytes: &[u8], part: RespPart) -> Result<Option<Header>, RespError> {
     match bytes.first() {
         None => return Ok(None),
@@ -87,14 +90,14 @@
         Some(_) => {}
     }
     let Some(end) = memchr::memchr(b'\n', &bytes[..bytes.len().min(MAX_HEADER + 2)]) else {
-        // A line that is too long already is not waited for.
+        // A line that is already too long is an error at once, even without its end.
         return if bytes.len() > MAX_HEADER {
             Err(RespError::NotNumber(part))
         } else {
             Ok(None)
         };
     };
-    // Digits alone: the parser of numbers would take a sign too.
+    // Only digits are accepted: `parse` alone would also accept a sign.
     let value = bytes[1..end]
         .strip_suffix(b"\r")
         .filter(|digits| !digits.is_empty() && digits.iter().all(u8::is_ascii_digit))
@@ -107,8 +110,8 @@
     }))
 }
 
-/// Reads an array of 2 to `MAX` bulk strings, each at most as long as its place in `max_lengths` says (bytes). `None`
-/// while the array is incomplete.
+/// Decodes an array of 2 to `MAX` bulk strings, each at most as long as the entry of `max_lengths`
+/// at its position (bytes). Returns `None` if the array is incomplete.
 pub fn decode_array<'a, const MAX: usize>(
     bytes: &'a [u8],
     max_lengths: &[usize; MAX],
@@ -126,7 +129,7 @@
             return Ok(None);
         };
         let length = header.value;
-        // Judged before any of it is waited for.
+        // Checked before any of the content is waited for.
         if length > *max {
             return Err(RespError::BulkStringTooLong { length, max: *max });
         }
@@ -147,21 +150,22 @@
     }))
 }
 
-// Writing to a `Vec` cannot fail, so results of `write!` are not looked at below.
+// Writing to a `Vec` cannot fail, so the results of `write!` below are ignored.
 
-/// Writes the header of an array of `count` bulk strings.
+/// Appends the header of an array of `count` bulk strings.
 pub fn write_array_header(out: &mut Vec<u8>, count: usize) {
     let _ = write!(out, "*{count}\r\n");
 }
 
-/// Writes a bulk string.
+/// Appends a bulk string.
 pub fn write_bulk_string(out: &mut Vec<u8>, content: &[u8]) {
     let _ = write!(out, "${}\r\n", content.len());
     out.extend_from_slice(content);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes a number, behind a prefix, as a bulk string: its length comes first, so the digits are laid out on the stack.
+/// Appends a number with a prefix as a bulk string. Its length precedes it, so the digits are first
+/// formatted on the stack.
 pub fn write_bulk_number(out: &mut Vec<u8>, prefix: &str, number: u64) {
     let mut digits = [0; MAX_DIGITS];
     let mut unused = &mut digits[..];
@@ -172,7 +176,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes a simple error, which belongs to no command. The connection is closed behind it.
+/// Appends a simple error, which belongs to no command. The connection is closed after it.
 pub fn write_error(out: &mut Vec<u8>, reason: &str) {
     let _ = write!(out, "-ERR {reason}\r\n");
 }
--- a/crates/tidewall-platform/tests/common/mod.rs
+++ b/crates/tidewall-platform/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Whole messages of the platform, and how a stream of them is decoded.
-#![allow(dead_code)] // each test file uses a part
+//! Complete messages of the platform's protocol, and decoders of message streams.
+#![allow(dead_code)] // Each test file uses some of these.
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tidewall_platform::client_command::{self, CallError, CallRequest, ClientCommand};
 use tidewall_platform::host_lines::{self, DecodedAnswer};
@@ -7,14 +7,14 @@
 pub const TRACE: &str = "9b1f03aa5c7e2d41";
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 
-/// What a buffer held: its complete messages, and how many bytes are left behind them.
+/// The complete messages of a buffer, and the number of undecoded bytes after them.
 #[derive(Debug, PartialEq)]
 pub struct Stream<M> {
     pub messages: Vec<M>,
     pub left: usize,
 }
 
-/// A command of these words.
+/// Encodes a command of these words.
 pub fn command(words: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
@@ -23,12 +23,12 @@
     out
 }
 
-/// Fields of a call that gives all that the page describes.
+/// Fields of a call that has all fields of the platform's specification.
 pub fn usual_fields() -> String {
     format!("trace={TRACE},patience=1500,customer=acme,nonce=n1,entity={FUNCTION},weight=8.2,extras=memory_mb:512;lanes:2")
 }
 
-/// What a call of [`usual_fields`] is decoded to.
+/// The decoded form of a call with [`usual_fields`].
 pub fn usual_call<'a>(class: &'a str, payload: &'a [u8]) -> CallRequest<'a> {
     CallRequest {
         request_id: 0x9b1f_03aa_5c7e_2d41,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Decodes all complete commands; the text of the error that ends the stream.
+/// Decodes all complete commands. Returns the message of the error that ends the stream, if any.
 pub fn decode_commands(bytes: &[u8]) -> Result<Stream<ClientCommand<'_>>, String> {
     let (mut messages, mut used) = (Vec::new(), 0);
     while let Some(decoded) =
@@ -59,7 +59,7 @@
     Ok(Stream { messages, left })
 }
 
-/// The error of a call that is decoded alone, with its tag.
+/// Returns the tag and the error of a buffer's only command, an invalid call.
 pub fn call_error(bytes: &[u8]) -> (u64, CallError) {
     let stream = decode_commands(bytes).unwrap();
     assert_eq!((stream.messages.len(), stream.left), (1, 0));
@@ -72,7 +72,8 @@
     }
 }
 
-/// Decodes all complete answers of a host; the text of the error that ends the stream.
+/// Decodes all complete answers of a host. Returns the message of the error that ends the stream,
+/// if any.
 pub fn decode_answers(bytes: &[u8]) -> Result<Stream<DecodedAnswer<'_>>, String> {
     let (mut messages, mut used) = (Vec::new(), 0);
     while let Some(decoded) =
@@ -85,7 +86,7 @@
     Ok(Stream { messages, left })
 }
 
-/// With a fixed seed and budget.
+/// A property test runner with a fixed seed.
 pub fn runner(cases: u32) -> TestRunner {
     let config = Config {
         cases,
--- a/crates/tidewall-platform/tests/recorded_bytes.rs
+++ b/crates/tidewall-platform/tests/recorded_bytes.rs
@@ -1,4 +1,5 @@
-//! Messages are encoded to the bytes that were recorded in `tests/oracles/wire/platform.hex` of the repository.
+//! Messages are encoded to the bytes recorded in `tests/oracles/wire/platform.hex` at the root of
+//! the repository.
 #![allow(clippy::unwrap_used, missing_docs)]
 use std::collections::BTreeMap;
 use tidewall_platform::host_lines::HostRequest;
@@ -11,7 +12,7 @@
         env!("CARGO_MANIFEST_DIR"),
         "/../../tests/oracles/wire/platform.hex"
     );
-    let digits = |text: &str| -> Vec<u8> {
+    let decode_hex = |text: &str| -> Vec<u8> {
         (0..text.len())
             .step_by(2)
             .map(|i| u8::from_str_radix(&text[i..i + 2], 16).unwrap())
@@ -21,7 +22,7 @@
         .unwrap()
         .lines()
         .map(|line| line.split_once(' ').unwrap())
-        .map(|(name, bytes)| (name.to_string(), digits(bytes)))
+        .map(|(name, bytes)| (name.to_string(), decode_hex(bytes)))
         .collect()
 }
 
@@ -31,7 +32,8 @@
     out
 }
 
-/// A reply of words that were recorded before statuses had types.
+/// Encodes a reply with any status word: the recording holds words that `ReplyStatus` does not
+/// have.
 fn reply(tag: u64, status: &str, tail: Option<(&str, &[u8])>) -> Vec<u8> {
     encoded(|out| {
         resp::write_array_header(out, if tail.is_some() { 4 } else { 2 });
--- a/crates/tidewall-platform/tests/round_trips.rs
+++ b/crates/tidewall-platform/tests/round_trips.rs
@@ -1,5 +1,5 @@
-//! What a peer encodes is decoded to the same. The product needs one direction of each message only; the other one is the
-//! peer's, written here.
+//! Messages that a peer encodes are decoded to the same values. The gateway implements one
+//! direction of each message; the peer's direction is implemented here.
 #![allow(clippy::unwrap_used, missing_docs)]
 mod common;
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn calls_of_clients() {
+fn calls_of_clients_round_trip() {
     let cases = (
         (1..=u64::MAX, any::<u64>(), any::<u64>()),
         ("[a-z]{1,64}", "[a-z-]{0,9}", "[!-+.-~]{0,64}"),
@@ -75,7 +75,7 @@
         (1..=1000u32, 0..=3_600_000u32, any::<bool>()),
         prop::collection::vec(any::<u8>(), 0..300),
     );
-    let done = runner(2_000).run(&cases, |(ids, texts, figures, more, payload)| {
+    let result = runner(2_000).run(&cases, |(ids, texts, numbers, options, payload)| {
         let ((tag, request_id, function), (class, tenant, key)) = (ids, texts);
         let function = format!("{function:016x}");
         let call = CallRequest {
@@ -84,12 +84,12 @@
             tenant: (!tenant.is_empty()).then_some(tenant.as_str()),
             idempotency_key: &key,
             function: &function,
-            timeout_ms: f64::from(figures.0) / 10.0,
-            cost_hint_ms: f64::from(figures.1) / 10.0,
-            memory_mb: f64::from(figures.2) / 8.0,
-            lanes: f64::from(more.0),
-            load_hint_ms: f64::from(more.1),
-            is_retry: more.2,
+            timeout_ms: f64::from(numbers.0) / 10.0,
+            cost_hint_ms: f64::from(numbers.1) / 10.0,
+            memory_mb: f64::from(numbers.2) / 8.0,
+            lanes: f64::from(options.0),
+            load_hint_ms: f64::from(options.1),
+            is_retry: options.2,
             payload: &payload,
         };
         let bytes = encode_call(tag, &call);
@@ -100,24 +100,24 @@
         prop_assert_eq!(decode_commands(&bytes), Ok(Stream { messages, left: 0 }));
         Ok(())
     });
-    done.unwrap();
+    result.unwrap();
 }
 
 #[test]
-fn replies_to_clients() {
+fn replies_to_clients_round_trip() {
     let cases = (
         1..=u64::MAX,
         0..REPLY_WORDS.len(),
         any::<u64>(),
         prop::collection::vec(any::<u8>(), 0..300),
     );
-    let done = runner(2_000).run(&cases, |(tag, index, time, payload)| {
+    let result = runner(2_000).run(&cases, |(tag, index, time_ms, payload)| {
         let (mut status, word) = REPLY_WORDS[index];
         let mut fields = String::new();
         if let ReplyStatus::Rejected { retry_after_ms } = &mut status {
-            *retry_after_ms = time;
-            if time > 0 {
-                fields = format!("pause={time}");
+            *retry_after_ms = time_ms;
+            if time_ms > 0 {
+                fields = format!("pause={time_ms}");
             }
         }
         let mut bytes = Vec::new();
@@ -139,7 +139,7 @@
         prop_assert_eq!(&array.items[..array.count], &words[..]);
         Ok(())
     });
-    done.unwrap();
+    result.unwrap();
 }
 
 fn encode_answer(answer: &HostAnswer) -> Vec<u8> {
@@ -147,12 +147,12 @@
         AnswerId::Request(id) => format!("{id:016x}"),
         AnswerId::Call(id) => format!("t{id}"),
     };
-    let known = INSTANCE_NOTES
+    let instance = INSTANCE_NOTES
         .iter()
         .find(|(note, _)| *note == answer.instance);
     let mut fields = format!(
         "res={},queue_fn={},copies={}",
-        known.unwrap().1,
+        instance.unwrap().1,
         answer.concurrent_requests,
         answer.instances
     );
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn answers_of_hosts() {
+fn answers_of_hosts_round_trip() {
     let cases = (
         (any::<bool>(), any::<u64>(), 0..STATUSES.len()),
         (0..INSTANCE_NOTES.len(), any::<u32>(), any::<u32>()),
         prop::option::of((0..10_000u32, 0..10_000u32)),
         prop::collection::vec(any::<u8>(), 0..300),
     );
-    let done = runner(2_000).run(&cases, |(ids, fields, load, payload)| {
+    let result = runner(2_000).run(&cases, |(ids, fields, load, payload)| {
         let (is_request, id, status) = ids;
         let answer = HostAnswer {
             id: if is_request {
@@ -203,5 +203,5 @@
         prop_assert_eq!(decode_answers(&bytes), Ok(Stream { messages, left: 0 }));
         Ok(())
     });
-    done.unwrap();
+    result.unwrap();
 }
