--- a/crates/tidewall-platform-ingress/src/closing.rs
+++ b/crates/tidewall-platform-ingress/src/closing.rs
@@ -1,4 +1,4 @@
-//! How client connections end: after an error, by a timeout, or to make room for others.
+//! Closes client connections: after an error, on a timeout, or to make room for new ones.
 use crate::error::ConnectionError;
 use crate::PlatformIngress;
 use tidewall_gateway::IngressContext;
@@ -6,7 +6,8 @@
 use tidewall_platform::resp;
 
 impl PlatformIngress {
-    /// Sends an error that belongs to no call; the connection is closed a little later.
+    /// Sends an error that belongs to no call and stops reading. The connection is closed a little
+    /// later, by `close_timed_out`.
     pub(crate) fn fail_connection<N: Net>(
         &mut self,
         context: &mut IngressContext<N>,
@@ -20,32 +21,34 @@
         resp::write_error(&mut self.out, &error.to_string());
         let net = context.net();
         net.write(conn, &self.out);
-        // What the client still sends stays in its own buffers until the end.
+        // What the client still sends is not read and stays in socket buffers until the connection
+        // is closed.
         net.set_read_paused(conn, true);
         let now = net.now();
         self.connections.slot(conn).error_sent(now);
     }
 
-    /// Removes a call whose client stopped waiting, and reports that to the gateway.
+    /// Removes a call that its client no longer waits for, and reports this to the gateway.
     pub(crate) fn abandon_call<N: Net>(&mut self, context: &mut IngressContext<N>, key: u32) {
         let reply_handle = self.calls.reply_handle(key);
         let call = self.calls.remove(&mut self.connections, key);
         context.client_abandoned(call.slot, reply_handle);
     }
 
-    /// Abandons all calls of a connection.
+    /// Abandons all open calls of a connection.
     pub(crate) fn abandon_calls<N: Net>(&mut self, context: &mut IngressContext<N>, conn: Conn) {
         while let Some(key) = self.calls.latest(conn) {
             self.abandon_call(context, key);
         }
     }
 
-    /// Closes a connection and abandons its calls.
+    /// Abandons the calls of a connection and closes it.
     fn close_connection<N: Net>(&mut self, context: &mut IngressContext<N>, conn: Conn) {
         self.abandon_calls(context, conn);
         self.connections.remove(conn);
         let net = context.net();
-        // A client that does not read would keep its descriptor for ever, as a close waits for what is unsent.
+        // Closing waits until everything is sent, so a client that does not read would occupy its
+        // descriptor forever. Its connection is reset instead.
         if net.unsent(conn) > 0 {
             net.reset(conn);
         } else {
@@ -64,17 +67,17 @@
             let Some(conn) = connection.conn else {
                 continue;
             };
-            // What a client sent while the gateway was busy is read first.
+            // Commands that a client sent while the gateway was busy are read first.
             if has_failed || !context.net().has_unread(conn) {
                 self.close_connection(context, conn);
             }
         }
     }
 
-    /// Closes one connection without open calls, where there is one that has sent nothing unread.
+    /// Closes one connection that has no open calls and no unread input, if there is one.
     pub(crate) fn make_room<N: Net>(&mut self, context: &mut IngressContext<N>) {
         let now = context.net().now();
-        // What a client sent while the gateway was busy is read first.
+        // Commands that a client sent while the gateway was busy are read first.
         let evicted = self
             .connections
             .eviction_order(now)
--- a/crates/tidewall-platform-ingress/src/commands.rs
+++ b/crates/tidewall-platform-ingress/src/commands.rs
@@ -1,4 +1,4 @@
-//! What becomes of a client's commands.
+//! Handling of client commands.
 use crate::error::{ConnectionError, InvalidCall};
 use crate::PlatformIngress;
 use tidewall_gateway::ingress::{remaining_time, Disposition, IncomingRequest, ReplyHandle};
@@ -8,22 +8,22 @@
 use tidewall_platform::client_reply::ReplyStatus;
 use tidewall_platform::printable;
 
-/// The most open calls of one connection, as the platform's page has it.
+/// Maximum number of open calls of one connection, from the platform's specification.
 const MAX_OPEN_CALLS: u32 = 32;
 
-/// The indices of a call's class and tenant in the settings.
+/// Indices of a call's class and tenant in the settings.
 struct CallTarget {
     class: usize,
     tenant: Option<usize>,
 }
 
-/// A time of the wire in the gateway's unit, tenths of a millisecond.
+/// Converts a time on the wire to the gateway's unit, tenths of a millisecond.
 fn time_from_ms(ms: f64) -> Time {
     (ms * 10.0) as Time
 }
 
 impl PlatformIngress {
-    /// Handles a command; an error ends its connection.
+    /// Handles a command. An error ends its connection.
     pub(crate) fn handle_command<N: Net>(
         &mut self,
         context: &mut IngressContext<N>,
@@ -52,11 +52,11 @@
             return Err(ConnectionError::TagReused);
         }
         connection.highest_tag = tag;
-        let checked = call.map_err(InvalidCall::from).and_then(|call| {
+        let validated = call.map_err(InvalidCall::from).and_then(|call| {
             let target = self.check_call(context, &call)?;
             Ok((call, target))
         });
-        match checked {
+        match validated {
             Ok((call, target)) => self.admit_call(context, conn, tag, &call, &target),
             Err(error) => {
                 self.log_malformed(&error, "call");
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Checks a call against the settings and the calls in flight.
+    /// Validates a call against the settings and the calls in flight.
     fn check_call<N: Net>(
         &self,
         context: &IngressContext<N>,
@@ -97,7 +97,7 @@
         call: &CallRequest,
         target: &CallTarget,
     ) {
-        // Shorter by what the command may have lain unread here.
+        // Reduced by the time for which the command may have waited unread in the socket.
         let read_delay = context.net().read_delay();
         let remaining = remaining_time(time_from_ms(call.timeout_ms), read_delay).unwrap_or(0);
         if self.connections.slot(conn).open_calls >= MAX_OPEN_CALLS || remaining == 0 {
@@ -116,7 +116,7 @@
             cost_hint: time_from_ms(call.cost_hint_ms),
             load_hint: time_from_ms(call.load_hint_ms),
             remaining,
-            // Its clients say when they stop waiting.
+            // The platform's clients send `CANCEL` when they stop waiting.
             uncertainty: 0,
             is_retry: call.is_retry,
             idempotency_key: call.idempotency_key.as_bytes(),
@@ -138,7 +138,8 @@
         }
     }
 
-    /// The client stops waiting. Its call may have been replied to already: the reply may have crossed this command.
+    /// Abandons the call with this tag, as its client no longer waits for it. It may be gone
+    /// already: its reply may have crossed this command.
     fn cancel_call<N: Net>(&mut self, context: &mut IngressContext<N>, conn: Conn, tag: u64) {
         if let Some(key) = self.calls.find_tag(conn, tag) {
             self.abandon_call(context, key);
--- a/crates/tidewall-platform-ingress/src/connections.rs
+++ b/crates/tidewall-platform-ingress/src/connections.rs
@@ -1,68 +1,71 @@
-//! Client connections: what is known of each, how many there may be and how long one that asks nothing may stay. Times are
-//! in tenths of a millisecond.
+//! Client connections: their state, their maximum number and their timeouts. Times are in tenths of
+//! a millisecond.
 use tidewall_net::{Conn, Time};
 
-/// A connection that has sent no complete command is closed so long after it was accepted: well within the 3 s in which
-/// its client has to get a reply or an error, and long enough for a slow first command.
+/// A connection that has sent no complete command is closed this long after it was accepted. That
+/// is well within the 3 s in which its client has to get a reply or an error, and long enough for a
+/// slow first command.
 const FIRST_COMMAND_TIMEOUT: Time = 20_000;
 
-/// A connection without open calls is closed when it has been idle for so long; the clients that the platform's page
-/// describes close theirs after 4 s.
+/// A connection without open calls is closed after it has been idle for this long. According to the
+/// platform's specification, clients close theirs after 4 s.
 const IDLE_TIMEOUT: Time = 60_000;
 
-/// The clients that the page describes close a connection that has been idle for so long: one that stays longer asks
-/// nothing more.
+/// Idle time after which clients close a connection, from the platform's specification. A
+/// connection that is idle for longer sends no more commands.
 const CLIENT_IDLE_TIMEOUT: Time = 40_000;
 
-/// A first command follows its connection within this: twice what the page counts for what crosses a close.
+/// Time within which the first command of a new connection arrives: twice what the platform's
+/// specification allows for data that crosses a close.
 const FIRST_COMMAND_DELAY: Time = 1_000;
 
-/// How often connections are checked for these times: a tenth of the shortest one that closes a connection.
+/// Interval of the timeout checks: a tenth of the shortest timeout that closes a connection.
 pub(crate) const CHECK_INTERVAL: Time = 2_000;
 
-/// A connection that got an error is closed so much later, unread, so that its client reads the error before the end.
+/// Delay between sending an error and closing the connection, during which nothing is read, so that
+/// the client reads the error before the end of the stream.
 const ERROR_LINGER: Time = 3_000;
 
-/// What is known of one client connection.
+/// State of one client connection.
 #[derive(Default)]
 pub(crate) struct ClientConnection {
     /// The connection; `None` in an unused slot.
     pub(crate) conn: Option<Conn>,
-    /// How many calls have no reply yet.
+    /// Number of calls without a reply.
     pub(crate) open_calls: u32,
-    /// The highest tag of a call so far; one at or below it was used before.
+    /// The highest tag of a call on this connection. A tag up to this one is rejected as reused.
     pub(crate) highest_tag: u64,
     accepted_at: Time,
-    /// When it last sent a complete command or got a reply.
+    /// Time of the last complete command or reply.
     last_active: Time,
     has_sent_command: bool,
-    /// It got an error and is closed at this time.
+    /// If an error was sent: when to close the connection.
     closes_at: Option<Time>,
 }
 
 impl ClientConnection {
-    /// Notes a complete command.
+    /// Records that a complete command was received.
     pub(crate) fn command_received(&mut self, now: Time) {
         self.has_sent_command = true;
         self.last_active = now;
     }
 
-    /// Notes a reply.
+    /// Records that a reply was sent.
     pub(crate) fn reply_sent(&mut self, now: Time) {
         self.last_active = now;
     }
 
-    /// Notes an error, behind which nothing is read any more.
+    /// Records that an error was sent. No further commands are read.
     pub(crate) fn error_sent(&mut self, now: Time) {
         self.closes_at = Some(now + ERROR_LINGER);
     }
 
-    /// Whether it got an error.
+    /// Whether an error was sent.
     pub(crate) fn has_failed(&self) -> bool {
         self.closes_at.is_some()
     }
 
-    /// Whether it is due to be closed.
+    /// Whether the connection should be closed because of a timeout.
     pub(crate) fn has_timed_out(&self, now: Time) -> bool {
         match self.closes_at {
             Some(closes_at) => now >= closes_at,
@@ -75,29 +78,31 @@
         match (self.closes_at, self.has_sent_command) {
             (Some(_), _) => EvictionClass::Failed,
             (None, false) if now >= self.accepted_at + FIRST_COMMAND_DELAY => EvictionClass::Silent,
-            (None, true) if now >= self.last_active + CLIENT_IDLE_TIMEOUT => EvictionClass::Unused,
+            (None, true) if now >= self.last_active + CLIENT_IDLE_TIMEOUT => {
+                EvictionClass::LongIdle
+            }
             (None, true) => EvictionClass::Idle,
             (None, false) => EvictionClass::New,
         }
     }
 }
 
-/// In which order connections without open calls make room for others.
+/// Order in which connections without open calls are closed to make room for new ones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
-    /// It got an error.
+    /// An error was sent on it.
     Failed,
-    /// It never sent a command.
+    /// It has never sent a command, and the time for its first one is over.
     Silent,
-    /// It has been idle for longer than its client would leave it open.
-    Unused,
-    /// It has been idle for less.
+    /// It has been idle for longer than its client leaves a connection open.
+    LongIdle,
+    /// It has been idle for a shorter time.
     Idle,
-    /// It was accepted just now: its first command is on its way, and would be lost.
+    /// It has just been accepted. Its first command is probably on its way, and would be lost.
     New,
 }
 
-/// A connection that may be closed to make room, ordered by who goes first.
+/// A connection that may be closed to make room. The smallest candidate is closed first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionCandidate {
     class: EvictionClass,
@@ -105,17 +110,17 @@
     conn: Conn,
 }
 
-/// All client connections, by the index of their connection.
+/// All client connections, by connection index.
 pub(crate) struct ClientConnections {
     slots: Vec<ClientConnection>,
-    /// How many slots are used.
+    /// Number of used slots.
     count: usize,
-    /// How many may be used.
+    /// Maximum number of used slots.
     max: usize,
 }
 
 impl ClientConnections {
-    /// At most `max` connections.
+    /// Creates an empty set for at most `max` connections.
     pub(crate) fn new(max: usize) -> ClientConnections {
         ClientConnections {
             slots: Vec::new(),
@@ -124,7 +129,8 @@
         }
     }
 
-    /// The slot of `conn`, which may hold another connection that had or has its index.
+    /// Returns the slot of the connection index of `conn`. Another connection with the same index
+    /// may occupy it.
     pub(crate) fn slot(&mut self, conn: Conn) -> &mut ClientConnection {
         if self.slots.len() <= conn.index() {
             self.slots
@@ -133,7 +139,7 @@
         &mut self.slots[conn.index()]
     }
 
-    /// Adds a connection; true where there are more now than there may be.
+    /// Adds a connection. Returns true if the maximum is exceeded.
     pub(crate) fn add(&mut self, conn: Conn, now: Time) -> bool {
         *self.slot(conn) = ClientConnection {
             conn: Some(conn),
@@ -145,12 +151,12 @@
         self.count > self.max
     }
 
-    /// Whether the connection is known.
+    /// Whether `conn` is one of these connections.
     pub(crate) fn contains(&mut self, conn: Conn) -> bool {
         self.slot(conn).conn == Some(conn)
     }
 
-    /// Removes a connection that has no open calls; does nothing where it is not known.
+    /// Removes a connection without open calls. Does nothing if it is unknown.
     pub(crate) fn remove(&mut self, conn: Conn) {
         if self.contains(conn) {
             *self.slot(conn) = ClientConnection::default();
@@ -158,19 +164,20 @@
         }
     }
 
-    /// How many slots there are, used or not.
+    /// Number of slots, used and unused.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// The connection at an index below [`Self::len`], where it has timed out.
+    /// Returns the connection in the slot `index`, less than [`Self::len`], if it has timed out.
     pub(crate) fn timed_out(&self, index: usize, now: Time) -> Option<&ClientConnection> {
         let connection = &self.slots[index];
         (connection.conn.is_some() && connection.has_timed_out(now)).then_some(connection)
     }
 
-    /// Connections without open calls, those first that make room first: that got an error, then the oldest that sent
-    /// nothing, then the one that has been idle for longest.
+    /// Iterates over the connections without open calls in the order in which they are to be
+    /// closed: first those on which an error was sent, then those that never sent a command, oldest
+    /// first, then the longest idle ones. Just accepted ones are last.
     pub(crate) fn eviction_order(&self, now: Time) -> impl Iterator<Item = Conn> {
         let mut candidates: Vec<EvictionCandidate> = self
             .slots
--- a/crates/tidewall-platform-ingress/src/error.rs
+++ b/crates/tidewall-platform-ingress/src/error.rs
@@ -1,62 +1,64 @@
-//! Errors where the platform's protocol meets the gateway. Their texts go to clients, to the log and, at start, to the
-//! operator.
+//! Errors of the platform's ingress, worker protocol and configuration. Their messages go to
+//! clients, to the log and, at startup, to the operator.
 use std::io;
 use thiserror::Error;
 use tidewall_platform::client_command::{CallError, CommandError};
 use tidewall_platform::config::ConfigError;
 
-/// The longest datagram between gateways in bytes, as the platform's page has it.
+/// Maximum length in bytes of a datagram between gateways, from the platform's specification.
 pub(crate) const MAX_DATAGRAM: usize = 256;
 
-/// Why a client's connection is closed. It gets this text before.
+/// Why a client's connection is closed. The client gets the message first.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConnectionError {
-    /// What it sent is no command.
+    /// The client sent something other than a command.
     #[error(transparent)]
     Command(#[from] CommandError),
-    /// A call has the tag of an earlier one, or a lower tag: it could not be known which of the two a reply is for.
+    /// A call's tag is not higher than the tags of earlier calls on the connection. It would be
+    /// unclear which of two calls with the same tag a reply is for.
     #[error("tag: used before")]
     TagReused,
 }
 
-/// Why a call fails before it is admitted. The other calls of its connection go on.
+/// Why a call fails before it is admitted. Other calls on its connection are not affected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidCall {
-    /// Its fields are at fault.
+    /// The fields of the call are invalid.
     #[error(transparent)]
     Fields(#[from] CallError),
-    /// Its class is not in the settings. Holds it, printable.
+    /// The class is not in the settings. Holds its name, made printable.
     #[error("event type: '{0}'")]
     UnknownClass(String),
-    /// Its tenant is not in the settings, or it has none where the settings list tenants.
+    /// The tenant is not in the settings, or the call has no tenant although the settings list
+    /// some.
     #[error("field customer: unknown")]
     UnknownTenant,
-    /// Its class needs an idempotency key, and it has none.
+    /// The class requires an idempotency key, and the call has none.
     #[error("field nonce: missing")]
     IdempotencyKeyMissing,
-    /// A request of the same id is in flight.
+    /// A request with the same id is in flight.
     #[error("field trace: in hand already")]
     DuplicateRequest,
 }
 
-/// Why a datagram of another gateway is refused.
+/// Why a datagram from another gateway is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PeerDatagramError {
-    /// It did not come from the address of any gateway that is known.
+    /// The source address belongs to no known gateway.
     #[error("datagram: from nobody's address")]
     UnknownSender,
-    /// It is longer than the platform allows. Holds its length in bytes.
+    /// The datagram is longer than the platform allows. Holds its length in bytes.
     #[error("datagram: {0} bytes, at most {MAX_DATAGRAM}")]
     TooLong(usize),
 }
 
-/// Why a changed configuration is not used.
+/// Why a changed configuration is not applied.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// The file holds no notice board's address.
+    /// The file has no valid notice board address.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
--- a/crates/tidewall-platform-ingress/src/host_protocol.rs
+++ b/crates/tidewall-platform-ingress/src/host_protocol.rs
@@ -1,5 +1,5 @@
-//! The platform's hosts as the gateway's workers: what the gateway asks of a worker becomes a line, and a host's answer
-//! becomes a worker's event.
+//! Adapts the hosts' line protocol to the gateway's [`WorkerProtocol`]: requests to workers are
+//! encoded as lines, and hosts' answers are reported as worker events.
 use crate::error::{PeerDatagramError, MAX_DATAGRAM};
 use tidewall::interface::{Outcome, Time};
 use tidewall_gateway::error::ProtocolError;
@@ -10,26 +10,29 @@
     self, AnswerId, AnswerStatus, HostAnswer, HostLineError, HostRequest, InstanceNote,
 };
 
-/// How long the rest of an answer that has begun may take, in tenths of a millisecond. It is a matter of a round trip, a
-/// few milliseconds; this is far more, and leaves time for a retry elsewhere.
+/// Maximum time from the first to the last byte of an answer, in tenths of a millisecond. Normally
+/// that takes a round trip, a few milliseconds; this limit is far longer, and leaves time for a
+/// retry on another host.
 const PARTIAL_ANSWER_TIMEOUT: Time = 500;
 
-/// More concurrent requests of one function at a host are reported as this many, as on the bench's wire.
+/// Larger counts of concurrent requests of a function on a host are reported as this value, as in
+/// the bench's line protocol.
 const MAX_CONCURRENT_REQUESTS: u32 = 30;
 
-/// Bits of an attempt's note that hold what is known of the instance; the number of concurrent requests stands above them.
+/// Number of low bits of an attempt's note that hold the instance's state. The number of concurrent
+/// requests is in the bits above.
 const INSTANCE_NOTE_BITS: u32 = 3;
 
-/// The protocol that the platform's hosts speak.
+/// The line protocol of the platform's hosts.
 pub struct HostProtocol;
 
 impl WorkerProtocol for HostProtocol {
-    /// A host that is connected is ready.
+    /// A host is ready as soon as it is connected.
     fn requires_greeting(&self) -> bool {
         false
     }
 
-    /// `halt` has no answer.
+    /// `halt` is not answered.
     fn confirms_cancelled(&self) -> bool {
         false
     }
@@ -49,7 +52,7 @@
             request_id: attempt.request_id,
             class: attempt.class,
             function: attempt.function,
-            // At least 1: a host could do nothing in no time.
+            // At least 1: with a timeout of 0 a host could execute nothing.
             timeout_ms: (attempt.timeout / 10).max(1),
             idempotency_key: attempt.idempotency_key,
             payload: attempt.payload,
@@ -92,7 +95,7 @@
         Ok(Some(decoded.length))
     }
 
-    /// Writes the datagram as it is; one that is longer than the platform allows is not sent.
+    /// Writes the datagram unchanged. One that is longer than the platform allows is dropped.
     fn write_peer_datagram(&self, out: &mut Vec<u8>, _gateway_index: u64, bytes: &[u8]) {
         if bytes.len() <= MAX_DATAGRAM {
             out.extend_from_slice(bytes);
@@ -116,7 +119,8 @@
     fn write_error(&self, _out: &mut Vec<u8>, _reason: &str) {}
 }
 
-/// Reports an answer to the gateway. The load report comes first: it holds whatever became of the call.
+/// Reports an answer to the gateway. The load report comes first, as it is valid even if the rest
+/// of the answer is rejected.
 fn deliver(answer: &HostAnswer, events: &mut dyn WorkerEvents) -> Result<(), ProtocolError> {
     if let Some(load) = answer.load {
         events.load_reported(load.requests_in_flight, load.busy_cores);
@@ -147,8 +151,9 @@
     }
 }
 
-/// The note of an attempt as the gateway takes it: what is known of the instance, and the concurrent requests, which count
-/// only where the host decided by them.
+/// Encodes the attempt's note for the gateway: the state of the instance, and the number of
+/// concurrent requests. The number is included only if the host's decision depended on it: if it
+/// completed the attempt or rejected it for lack of capacity.
 fn attempt_note(answer: &HostAnswer) -> u32 {
     let instance = match answer.instance {
         InstanceNote::NotReported => 0,
--- a/crates/tidewall-platform-ingress/src/lib.rs
+++ b/crates/tidewall-platform-ingress/src/lib.rs
@@ -1,6 +1,7 @@
-//! The platform at the gateway's interfaces: its clients come by an [`Ingress`], its hosts speak a worker protocol
-//! ([`host_protocol`]), and its notice board is a discovery source ([`notice_board`]). The gateway decides; this package
-//! translates, and holds what a client is owed on its connection and how long one that asks nothing may stay.
+//! Connects the platform to the gateway: an [`Ingress`] for its clients, a worker protocol for its
+//! hosts ([`host_protocol`]), and a discovery source for its notice board ([`notice_board`]). The
+//! gateway makes the decisions; this package translates messages, keeps track of the open calls of
+//! each client connection, and closes idle connections.
 mod closing;
 mod commands;
 mod connections;
@@ -19,23 +20,24 @@
 use tidewall_net::{Conn, Net, Time};
 use tidewall_platform::client_command;
 
-/// The platform's clients: RESP commands over TCP.
+/// Ingress for the platform's clients: RESP commands over TCP.
 pub struct PlatformIngress {
-    /// Its index among the gateway's ingresses.
+    /// Index of this ingress in the gateway.
     index: usize,
-    /// By class: whether its calls need an idempotency key.
+    /// Whether calls of a class require an idempotency key, by class index.
     needs_idempotency_key: Vec<bool>,
     connections: ClientConnections,
     calls: OpenCalls,
-    /// Holds one reply while it is written.
+    /// Buffer for the reply that is being written.
     out: Vec<u8>,
-    /// How many malformed calls and connections there were.
+    /// Number of malformed calls and connections so far.
     malformed: u64,
 }
 
 impl PlatformIngress {
-    /// The ingress of this index at its gateway, with at most `max_connections` client connections.
-    /// `needs_idempotency_key` says by the classes of the settings whether their calls need a key.
+    /// Creates the gateway's ingress with this index, with at most `max_connections` client
+    /// connections. `needs_idempotency_key` tells for each class of the settings whether its calls
+    /// require an idempotency key.
     pub fn new(
         index: usize,
         max_connections: usize,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Whether commands of this connection are read: it is known and got no error.
+    /// Whether commands of this connection are still read: it is open and no error was sent on it.
     fn reads_commands(&mut self, conn: Conn) -> bool {
         self.connections.contains(conn) && !self.connections.slot(conn).has_failed()
     }
@@ -75,17 +77,17 @@
     }
 
     fn received(&mut self, context: &mut IngressContext<N>, conn: Conn, bytes: &[u8]) -> usize {
-        let mut used = 0;
+        let mut consumed = 0;
         while self.reads_commands(conn) {
-            let handled = match client_command::decode(&bytes[used..]) {
+            let result = match client_command::decode(&bytes[consumed..]) {
                 Ok(Some(decoded)) => {
-                    used += decoded.length;
+                    consumed += decoded.length;
                     self.handle_command(context, conn, decoded.command)
                 }
-                Ok(None) => return used,
+                Ok(None) => return consumed,
                 Err(error) => Err(error.into()),
             };
-            if let Err(error) = handled {
+            if let Err(error) = result {
                 self.fail_connection(context, conn, &error);
             }
         }
@@ -101,10 +103,11 @@
         }
     }
 
-    /// Clients get complete replies only.
+    /// Does nothing: the platform's clients get complete replies only.
     fn response_started(&mut self, _net: &mut N, _handle: ReplyHandle, _payload: &[u8]) {}
 
-    /// `CANCEL` says when a client stops waiting.
+    /// The platform's clients send `CANCEL` when they stop waiting, so until then a reply is always
+    /// due.
     fn accepts_late_response(&self) -> bool {
         true
     }
@@ -116,7 +119,7 @@
     }
 
     fn respond(&mut self, net: &mut N, handle: ReplyHandle, response: &Response) {
-        // Its client may have gone since the gateway was woken up.
+        // The client may have disconnected since the start of this wake-up.
         let Some(key) = self.calls.find_handle(handle) else {
             return;
         };
--- a/crates/tidewall-platform-ingress/src/notice_board.rs
+++ b/crates/tidewall-platform-ingress/src/notice_board.rs
@@ -1,4 +1,4 @@
-//! The platform's notice board as the gateway's discovery source.
+//! The gateway's discovery source for the platform's notice board.
 use crate::error::ReloadError;
 use crate::unix_clock::UnixClock;
 use rand::{Rng, SeedableRng};
@@ -14,52 +14,57 @@
 };
 use tracing::warn;
 
-/// How long the board may hold a poll, in milliseconds. A change counts as known 2 s after the end of the wait that was
-/// asked for, so a short wait keeps a silent board from making the endpoint list stale, at one poll a second.
+/// Wait of a poll: how long the board may delay its answer, in milliseconds. A change counts as
+/// known 2 s after the end of the requested wait, so a short wait keeps the endpoint list from
+/// becoming stale when the board is silent. It costs one poll per second.
 const POLL_WAIT_MS: u64 = 1_000;
 
-/// The wait of a poll by which the list is to be confirmed at once: the shortest that there is.
+/// Wait of a poll that confirms the endpoint list at once: the shortest possible, in milliseconds.
 const CONFIRM_WAIT_MS: u64 = 1;
 
-/// An answer is due so much later than the wait of its poll, in tenths of a millisecond: many round trips and late wake-ups, and
-/// far less than any grace period.
+/// How long after the end of a poll's wait its answer is due, in tenths of a millisecond: many
+/// round trips and late wake-ups, but far less than any grace period.
 const ANSWER_MARGIN: Time = 2_000;
 
-/// Connections that ended in a row from which on the list is to be confirmed at once, also where it just was.
+/// Number of consecutive connections that ended without a response after which the list is
+/// confirmed at once, even if the last poll already did that.
 const FAILURES_TO_CONFIRM: u32 = 2;
 
-/// A board that is silent for so much longer than the poll's wait hangs. Tenths of a millisecond: of the 2 s that are left
-/// by then, the rest is for the next connection.
+/// How long after the end of a poll's wait a silent board is considered hung, in tenths of a
+/// millisecond. The rest of the 2 s after which a change counts as known is left for the next
+/// connection.
 const SILENCE_MARGIN: Time = 7_000;
 
-/// The delay of the second retry in a row, in tenths of a millisecond; the first one comes at once.
+/// Base of the retry delay, in tenths of a millisecond. The first retry is immediate; each later
+/// one doubles the base once for each earlier failure.
 const BASE_RETRY_DELAY: Time = 200;
 
-/// The longest retry delay, in tenths of a millisecond: half a second.
+/// Maximum retry delay, half a second, in tenths of a millisecond.
 const MAX_RETRY_DELAY: Time = 5_000;
 
-/// The retry delay is doubled at most so often; it has reached its maximum before.
+/// Maximum number of doublings of the retry delay, which reaches its maximum earlier.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Reads the notice board's address from the configuration as it is now.
+/// Reads the notice board's address from the current configuration.
 pub type ReadAddress = Box<dyn FnMut() -> Result<SocketAddr, ReloadError>>;
 
-/// The notice board, polled over one connection at a time.
+/// The notice board, polled on one connection at a time.
 pub struct NoticeBoardSource {
     address: SocketAddr,
-    /// The address as text, for the polls.
+    /// The address as text, for the `Host` header.
     host: String,
-    /// The revision of the last response that was used; 0 asks for the complete list.
+    /// Revision of the last response that was used; 0 requests the complete list.
     revision: u64,
-    /// Whether another poll may be sent on the connection.
+    /// Whether the connection can be used for another poll.
     keep_alive: bool,
-    /// Connections that ended since the last response.
+    /// Number of connections that ended since the last response.
     failures: u32,
-    /// How long the board may hold the last poll.
+    /// Requested wait of the last poll.
     wait_ms: u64,
-    /// The last answer was to a poll without a wait.
+    /// Whether the last response was to a poll with the shortest wait, [`CONFIRM_WAIT_MS`].
     answered_at_once: bool,
-    /// The list is to be confirmed at once: after the start, and where the board's address has changed.
+    /// Whether to confirm the list at once: true after startup and after a change of the board's
+    /// address.
     confirm_at_once: bool,
     random: ChaCha8Rng,
     clock: UnixClock,
@@ -67,8 +72,9 @@
 }
 
 impl NoticeBoardSource {
-    /// A source at `address` that knows all notices up to `revision`. `clock` is that of the hosts' starts, `seed` that of
-    /// the jitter of retry delays; `read_address` is called when the configuration is to be read again.
+    /// Creates a source that polls the board at `address` and knows all notices up to `revision`.
+    /// `clock` is used for the ages of hosts, `seed` for the jitter of retry delays, and
+    /// `read_address` is called when the configuration is reloaded.
     pub fn new(
         address: SocketAddr,
         revision: u64,
@@ -92,9 +98,12 @@
     }
 
     fn write_poll(&mut self, out: &mut Vec<u8>) {
-        // A board that ends each connection behind its answer must not be asked without end.
-        let has_broken = self.failures > 0 && !self.answered_at_once;
-        let confirm = self.confirm_at_once || has_broken || self.failures >= FAILURES_TO_CONFIRM;
+        // After a failure the list is confirmed at once, unless the last response already did that.
+        // Otherwise a board that closes each connection after its answer would be polled in a tight
+        // loop.
+        let has_unconfirmed_failure = self.failures > 0 && !self.answered_at_once;
+        let confirm =
+            self.confirm_at_once || has_unconfirmed_failure || self.failures >= FAILURES_TO_CONFIRM;
         self.wait_ms = if confirm {
             CONFIRM_WAIT_MS
         } else {
@@ -109,8 +118,9 @@
     }
 }
 
-/// One host as the gateway's endpoint list has it. A host that is removed may come without an address. `is_change`: it comes by
-/// a change of the list, not by a complete one.
+/// Converts a host's entry to an endpoint record of the gateway. A removed host may have no
+/// address. `is_change` tells that the entry comes from a change of the list, not from a complete
+/// list.
 fn endpoint_record(
     host: &HostEntry,
     clock: &UnixClock,
@@ -130,7 +140,7 @@
         },
         rating: host.weight,
         incarnation: host.started_ms,
-        // At least 1 for a known start, as 0 stands for a start long ago.
+        // At least 1 for a known start time, as 0 stands for a start long ago.
         age: if host.started_ms == 0 {
             0
         } else {
@@ -139,16 +149,16 @@
     })
 }
 
-/// Endpoints that are handed to the gateway together.
+/// Endpoint records that are passed to the gateway together.
 struct EndpointUpdate {
     records: Vec<EndpointRecord>,
     complete: bool,
 }
 
 impl EndpointUpdate {
-    /// Replaces the records of the same names, and adds the others.
+    /// Replaces the records that have the same names, and appends the others.
     fn merge(&mut self, records: Vec<EndpointRecord>) {
-        // Looked up only: iterating over a hash map would make runs differ.
+        // Only used for lookups: iterating over a hash map would make runs nondeterministic.
         let mut positions: FxHashMap<String, usize> = FxHashMap::default();
         for (position, record) in self.records.iter().enumerate() {
             positions.insert(record.name.clone(), position);
@@ -165,8 +175,9 @@
     }
 }
 
-/// Hands the notices behind `last_revision` to the gateway, all of a response or none. Gives back the last revision, or
-/// `None` where notices between are missing: then nothing was handed over, and the complete list is to be asked for.
+/// Passes the notices after `last_revision` to the gateway, all notices of the response or none.
+/// Returns the last revision, or `None` if notices in between are missing. Then nothing was passed
+/// on, and the caller has to request the complete list.
 pub fn deliver_notices(
     json: &Json,
     last_revision: u64,
@@ -184,7 +195,8 @@
             .map(|host| endpoint_record(host, clock, last_revision > 0 && !list.complete))
             .collect::<Result<Vec<_>, _>>()?;
         match updates.last_mut() {
-            // What follows a complete list in one response belongs to it: no endpoint is gone in between.
+            // Changes that follow a complete list in the same response are merged into it, so that
+            // no endpoint disappears in between.
             Some(last) if last.complete && !list.complete => last.merge(records),
             _ => updates.push(EndpointUpdate {
                 records,
@@ -208,7 +220,7 @@
     }
 
     fn max_message_length(&self) -> Option<usize> {
-        // Twice the body: it may come in chunks, and its head stands before it.
+        // Twice the maximum body length: the head precedes the body, and chunks add to its length.
         Some(2 * notice_board::MAX_BODY)
     }
 
@@ -230,9 +242,10 @@
                 "notice board skipped revisions: requesting the complete endpoint list"
             );
         }
-        if let Some(now_known) = revision {
-            // Without news the board has waited as long as it was asked to; news may have come at once.
-            let is_unchanged = now_known == self.revision;
+        if let Some(new_revision) = revision {
+            // If nothing is new, the board has waited for the whole requested time. News may have
+            // been sent without any wait.
+            let is_unchanged = new_revision == self.revision;
             events.list_confirmed(if is_unchanged { self.wait_ms * 10 } else { 0 });
         }
         self.revision = revision.unwrap_or(0);
@@ -264,7 +277,7 @@
             (BASE_RETRY_DELAY << self.failures.min(MAX_DOUBLINGS)).min(MAX_RETRY_DELAY)
         };
         self.failures += 1;
-        // Jitter of a quarter either way, so that gateways do not come back together.
+        // Jitter of 25 % up or down, so that gateways do not reconnect at the same time.
         delay * 3 / 4 + self.random.random_range(0..=delay / 2)
     }
 
--- a/crates/tidewall-platform-ingress/src/open_calls.rs
+++ b/crates/tidewall-platform-ingress/src/open_calls.rs
@@ -1,19 +1,20 @@
-//! Calls of clients that have no reply yet, found by tag, by request id and by the gateway's reply handle.
+//! Calls of clients that have no reply yet, indexed by tag, by request id and by the gateway's
+//! reply handle.
 use crate::connections::ClientConnections;
 use rustc_hash::FxHashMap;
 use tidewall_gateway::client_requests::{ClientRequest, ClientRequests};
 use tidewall_gateway::ingress::ReplyHandle;
 use tidewall_net::Conn;
 
-/// All open calls. A call's id among its connection's is its tag.
+/// All open calls. The id of a call on its connection is its tag.
 pub(crate) struct OpenCalls {
     calls: ClientRequests,
-    // Looked up only: iterating over a hash map would make runs differ.
+    // Only used for lookups: iterating over a hash map would make runs nondeterministic.
     by_request_id: FxHashMap<u64, u32>,
 }
 
 impl OpenCalls {
-    /// No calls, for the ingress of this index.
+    /// Creates an empty set for the ingress with this index.
     pub(crate) fn new(ingress: usize) -> OpenCalls {
         OpenCalls {
             calls: ClientRequests::new(ingress),
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Adds a call, and gives back its key.
+    /// Adds a call and returns its key.
     pub(crate) fn insert(
         &mut self,
         connections: &mut ClientConnections,
@@ -35,7 +36,7 @@
         key
     }
 
-    /// Removes the call of a key that is in use.
+    /// Removes the call with this key, which must be in use.
     pub(crate) fn remove(
         &mut self,
         connections: &mut ClientConnections,
@@ -47,32 +48,32 @@
         call
     }
 
-    /// Notes the gateway's slot of a call that is admitted.
+    /// Records the gateway's slot for an admitted call.
     pub(crate) fn admitted(&mut self, key: u32, request_slot: usize) {
         self.calls.set_slot(key, request_slot);
     }
 
-    /// The handle by which the gateway replies to a call.
+    /// Returns the handle that the gateway replies to a call with.
     pub(crate) fn reply_handle(&self, key: u32) -> ReplyHandle {
         self.calls.handle(key)
     }
 
-    /// The key of a reply handle; `None` where its call is gone.
+    /// Returns the key of the call with this reply handle; `None` if the call is gone.
     pub(crate) fn find_handle(&self, handle: ReplyHandle) -> Option<u32> {
         self.calls.key(handle)
     }
 
-    /// The key of the call of this tag on this connection.
+    /// Returns the key of the call with this tag on this connection.
     pub(crate) fn find_tag(&self, conn: Conn, tag: u64) -> Option<u32> {
         self.calls.find(conn, tag)
     }
 
-    /// The key of the call that came last of those that are open on a connection.
+    /// Returns the key of the connection's most recent open call.
     pub(crate) fn latest(&self, conn: Conn) -> Option<u32> {
         self.calls.latest(conn)
     }
 
-    /// Whether a call of this request id is open.
+    /// Whether a call with this request id is open.
     pub(crate) fn contains_request(&self, request_id: u64) -> bool {
         self.by_request_id.contains_key(&request_id)
     }
--- a/crates/tidewall-platform-ingress/src/replies.rs
+++ b/crates/tidewall-platform-ingress/src/replies.rs
@@ -1,4 +1,4 @@
-//! Replies to clients, and what is logged of those that are malformed.
+//! Replies to clients, and logging of malformed input.
 use crate::PlatformIngress;
 use std::fmt::Display;
 use tidewall_gateway::ingress::Disposition;
@@ -8,18 +8,20 @@
 use tidewall_platform::host_lines::MAX_ANSWER_PAYLOAD;
 use tracing::{debug, warn};
 
-/// The most bytes that a client may leave unread while another reply is written to it: one largest reply. With all
-/// connections taken by such clients this is still bounded by their number, which descriptors bound.
+/// Maximum number of bytes that a client may leave unread when another reply is written: the size
+/// of the largest reply. If all connections are occupied by such clients, memory is still bounded,
+/// as descriptors limit their number.
 const MAX_UNREAD: usize = MAX_ANSWER_PAYLOAD;
 
-/// Malformed clients may come by the thousand: the first one is logged as a warning, and then one in so many.
-const WARN_ONE_IN: u64 = 1000;
+/// There may be thousands of malformed commands: the first one and then one in this many is logged
+/// as a warning.
+const WARN_INTERVAL: u64 = 1000;
 
-/// The final answer to a call.
+/// The final reply to a call.
 pub(crate) struct FinalReply<'a> {
     pub(crate) tag: u64,
     pub(crate) disposition: Disposition,
-    /// With a rejection: when the client may come back, in tenths of a millisecond; 0 where that is not said.
+    /// For a rejection: when the client may retry, in tenths of a millisecond; 0 if unspecified.
     pub(crate) retry_after: Time,
     pub(crate) payload: &'a [u8],
 }
@@ -42,13 +44,14 @@
         self.send_reply(context.net(), conn, &reply);
     }
 
-    /// Writes a final reply. A client that reads nothing until its buffer is full loses its connection: its own replies,
-    /// not its neighbours'.
+    /// Writes a final reply. If a client does not read until its output buffer is full, its
+    /// connection is aborted: that loses replies to this client only.
     pub(crate) fn send_reply<N: Net>(&mut self, net: &mut N, conn: Conn, reply: &FinalReply) {
         let status = match reply.disposition {
             Disposition::Completed => ReplyStatus::Completed,
             Disposition::Rejected => ReplyStatus::Rejected {
-                // Whole milliseconds, never sooner than the gateway says.
+                // Rounded up to whole milliseconds, so that the client does not retry earlier than
+                // the gateway asks for.
                 retry_after_ms: reply.retry_after.div_ceil(10),
             },
             Disposition::Failed => ReplyStatus::Failed,
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Encodes a reply in place of what the output buffer held.
+    /// Encodes a reply into the output buffer, replacing its content.
     pub(crate) fn encode_reply(&mut self, tag: u64, status: ReplyStatus, payload: &[u8]) {
         self.out.clear();
         let reply = ClientReply {
@@ -70,11 +73,11 @@
         reply.encode(&mut self.out);
     }
 
-    /// Logs what is wrong with a client's `what`, a call or a connection.
+    /// Logs why a client's call or connection is malformed; `what` names which of the two.
     pub(crate) fn log_malformed(&mut self, error: &dyn Display, what: &str) {
         self.malformed += 1;
         let reason = error.to_string();
-        if self.malformed % WARN_ONE_IN == 1 {
+        if self.malformed % WARN_INTERVAL == 1 {
             warn!(
                 reason,
                 what,
--- a/crates/tidewall-platform-ingress/src/unix_clock.rs
+++ b/crates/tidewall-platform-ingress/src/unix_clock.rs
@@ -1,12 +1,14 @@
-//! Unix time as the gateway uses it. The machine's wall clock may be stepped while it runs, by seconds or by an hour: it is read
-//! once, and from then on time is what the monotonic clock says has passed.
+//! The gateway's Unix time. The system clock may be stepped while the gateway runs, by seconds or
+//! by an hour. It is therefore read only once, and from then on the monotonic clock measures the
+//! elapsed time.
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A host that a change of the list names for the first time has started lately: the page's slowest notice comes after 12 s.
-/// One that seems older is taken for one that has just started, as the clock that says so must be wrong.
+/// Maximum plausible age of a host that a change of the list names for the first time: according to
+/// the platform's specification, the slowest notice comes after 12 s. A host that seems older is
+/// assumed to have just started, as one of the clocks must be wrong.
 const MAX_NOTICE_DELAY_MS: u64 = 15_000;
 
-/// Unix time from one reading of the wall clock.
+/// Unix time, derived from one reading of the system clock.
 #[derive(Clone, Copy, Debug)]
 pub struct UnixClock {
     read_at: Instant,
@@ -14,13 +16,13 @@
 }
 
 impl UnixClock {
-    /// Reads the wall clock.
+    /// Reads the system clock.
     pub fn read() -> UnixClock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         UnixClock::at(unix.map_or(0, |unix| unix.as_millis() as u64))
     }
 
-    /// A clock by which it is this Unix time now, in milliseconds.
+    /// Creates a clock whose current Unix time is `unix_ms`, in milliseconds.
     pub fn at(unix_ms: u64) -> UnixClock {
         UnixClock {
             read_at: Instant::now(),
@@ -28,13 +30,14 @@
         }
     }
 
-    /// Unix time in milliseconds. Never goes back.
+    /// Current Unix time in milliseconds. Never goes backwards.
     pub fn now_ms(&self) -> u64 {
         self.unix_ms + self.read_at.elapsed().as_millis() as u64
     }
 
-    /// How long ago something started, in milliseconds; 0 where its clock is ahead of ours. `is_change`: a change of the list
-    /// named it, so that it has not been there for long.
+    /// Returns the age of something that started at `started_ms`, in milliseconds; 0 if that is in
+    /// the future by this clock. `is_change` tells that a change of the list named it, so it cannot
+    /// be old.
     pub fn age_ms(&self, started_ms: u64, is_change: bool) -> u64 {
         let age = self.now_ms().saturating_sub(started_ms);
         if is_change && age > MAX_NOTICE_DELAY_MS {
--- a/crates/tidewall-platform-ingress/tests/common/mod.rs
+++ b/crates/tidewall-platform-ingress/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway on the platform among scripted hosts, a board and clients, on the network in memory.
-#![allow(dead_code)] // each test file uses a part
+//! A gateway on the platform with scripted hosts, a board and clients, on the in-memory network.
+#![allow(dead_code)] // Each test file uses some of these.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -20,20 +20,20 @@
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 pub const SECOND: Time = 10_000;
 
-pub fn at(text: &str) -> SocketAddr {
+pub fn socket_address(text: &str) -> SocketAddr {
     text.parse().unwrap()
 }
 
-/// What a host does with an attempt.
+/// How a host reacts to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostBehavior {
     /// Answers `ok`.
     Answers,
-    /// Sends this instead of an answer, `ID` being the request's.
+    /// Sends this instead of an answer, with `ID` replaced by the request id.
     Sends(&'static str),
-    /// Sends this to the first attempt only, and answers the others.
+    /// Sends this in reply to the first attempt, and answers the others.
     SendsOnce(&'static str),
-    /// Resets its connection at the first attempt, which has been executed, and answers the others.
+    /// Executes the first attempt, but resets its connection; answers the others.
     ResetsOnce,
     /// Never answers.
     Silent,
@@ -46,7 +46,7 @@
     Client,
 }
 
-/// What arrived on one connection.
+/// Text that arrived on one connection.
 #[derive(Clone, Debug)]
 pub struct ReceivedText {
     pub conn: Conn,
@@ -56,13 +56,14 @@
 pub struct Peer {
     pub net: Memory,
     pub role: Role,
-    /// What arrived: of hosts complete lines, of a board and of clients what each read gave.
+    /// Texts that arrived: complete lines for hosts, the result of each read for boards and
+    /// clients.
     pub received_texts: Vec<ReceivedText>,
     pub closed_conns: Vec<Conn>,
     pub open_conns: Vec<Conn>,
-    /// Attempts at all hosts so far.
+    /// Number of attempts on all hosts so far.
     attempts: Rc<Cell<usize>>,
-    /// What a board answers next; `None` is silence.
+    /// Response of a board to the next poll; `None` if it does not respond.
     pub next_response: Option<String>,
 }
 
@@ -79,21 +80,21 @@
         }
     }
 
-    fn line(&mut self, conn: Conn, line: &str) {
+    fn handle_line(&mut self, conn: Conn, line: &str) {
         let text = line.to_string();
         self.received_texts.push(ReceivedText { conn, text });
         let Role::Host(behavior) = self.role else {
             return;
         };
         let id = line.split(' ').nth(1).unwrap_or("");
-        let usual = format!("{id} ok res=hit 3\r\nyes\r\n");
+        let ok_answer = format!("{id} ok res=hit 3\r\nyes\r\n");
         let out = match line.split(' ').next().unwrap_or("") {
             "stage" => format!("{id} ok copies=2 0\r\n\r\n"),
             "ping" | "stat" => format!("{id} yes gauges=q:0;rif:1 0\r\n\r\n"),
             "go" => {
                 self.attempts.set(self.attempts.get() + 1);
                 match behavior {
-                    HostBehavior::Answers => usual,
+                    HostBehavior::Answers => ok_answer,
                     HostBehavior::Sends(text) => text.replace("ID", id),
                     HostBehavior::SendsOnce(text) if self.attempts.get() == 1 => {
                         text.replace("ID", id)
@@ -101,7 +102,7 @@
                     HostBehavior::ResetsOnce if self.attempts.get() == 1 => {
                         return self.net.reset(conn)
                     }
-                    HostBehavior::SendsOnce(_) | HostBehavior::ResetsOnce => usual,
+                    HostBehavior::SendsOnce(_) | HostBehavior::ResetsOnce => ok_answer,
                     HostBehavior::Silent => return,
                 }
             }
@@ -111,18 +112,20 @@
     }
 
     pub fn lines(&self, verb: &str) -> Vec<&str> {
-        let own = self.received_texts.iter().map(|r| r.text.as_str());
-        own.filter(|l| l.split(' ').next() == Some(verb)).collect()
+        let texts = self.received_texts.iter().map(|r| r.text.as_str());
+        texts
+            .filter(|l| l.split(' ').next() == Some(verb))
+            .collect()
     }
 
-    /// Sends this on all open connections, asked for or not.
+    /// Sends this on all open connections, whether or not anything was requested.
     pub fn send_to_all(&mut self, text: &str) {
         for conn in self.open_conns.clone() {
             self.net.write(conn, text.as_bytes());
         }
     }
 
-    /// All that arrived on this connection.
+    /// Returns everything that arrived on this connection.
     pub fn text(&self, conn: Conn) -> String {
         self.received_texts
             .iter()
@@ -156,17 +159,17 @@
                 bytes.len()
             }
             Role::Host(_) => {
-                let mut used = 0;
-                while let Some(end) = text[used..].find("\r\n") {
-                    let line = text[used..used + end].to_string();
-                    used += end + 2;
+                let mut consumed = 0;
+                while let Some(end) = text[consumed..].find("\r\n") {
+                    let line = text[consumed..consumed + end].to_string();
+                    consumed += end + 2;
                     if line.starts_with("go ") {
                         let len: usize = line.rsplit(' ').next().unwrap().parse().unwrap();
-                        used += len + 2;
+                        consumed += len + 2;
                     }
-                    self.line(conn, &line);
+                    self.handle_line(conn, &line);
                 }
-                used
+                consumed
             }
         }
     }
@@ -183,7 +186,7 @@
     pub gateway: Gateway<Memory>,
     pub gateway_net: Memory,
     pub board: Peer,
-    /// The board's address in a changed configuration; `None` while it cannot be read.
+    /// The board's address in the changed configuration; `None` while that cannot be read.
     pub moved_board: Rc<Cell<Option<SocketAddr>>>,
     pub hosts: Vec<Peer>,
     pub client: Peer,
@@ -194,7 +197,8 @@
 pub const SIBLING: &str = "127.0.0.1:721";
 pub const GATEWAY: &str = "127.0.0.1:700";
 
-/// Classes: "check" is idempotent, "record" has idempotency keys with a scope of a zone, "issue" is non-idempotent.
+/// Classes: "check" is idempotent, "record" has idempotency keys with zone scope, "issue" is
+/// non-idempotent.
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:700","seed":"7","limits":{"memory_mb":32,"sockets":256},
  "board":"127.0.0.1:701","known":{"rev":1,"notices":[{"rev":1,"pool":{"version":0,"full":true,"servers":[HOSTS]}}]},
  "settings":{"me":0,"siblings":1,"tick-ms":1.0,"zones":["z"],"kinds":["k"],"discovery":"pushed",
@@ -206,20 +210,21 @@
   {"name":"issue","aim-ms":500.0,"deadline-ms":2000.0,"worth":1.0,"semantics":"non_idempotent"}],
  "extra":{"orders":true,"order-timeout-ms":4000.0,"if-cold":"load","stays-loaded-ms":60000.0,"load-window-ms":0}}}"#;
 
-/// A host's entry on the board.
+/// A host's entry in a board's list.
 pub fn host(index: usize, state: &str) -> String {
-    let place = format!(
+    let required = format!(
         "\"id\":\"s-{index}\",\"addr\":\"127.0.0.1:{}\",\"state\":\"{state}\"",
         800 + index
     );
-    format!("{{{place},\"zone\":\"z\",\"kind\":\"k\",\"cell\":0,\"weight\":4,\"started_ms\":0}}")
+    format!("{{{required},\"zone\":\"z\",\"kind\":\"k\",\"cell\":0,\"weight\":4,\"started_ms\":0}}")
 }
 
 pub fn site(behaviors: &[HostBehavior]) -> Site {
     site_with_limits(behaviors, 128, 100)
 }
 
-/// Joins gateway, board, one host for each behavior, and a client, in this order.
+/// Creates the gateway, the board, one host for each behavior and a client, which join the network
+/// in this order.
 pub fn site_with_limits(
     behaviors: &[HostBehavior],
     max_clients: usize,
@@ -229,10 +234,10 @@
     let gateway_net = Memory::join(&world);
     let attempts = Rc::new(Cell::new(0));
     let mut board = Peer::join(&world, Role::Board, &attempts);
-    board.net.listen(at(BOARD)).unwrap();
+    board.net.listen(socket_address(BOARD)).unwrap();
     let hosts = behaviors.iter().enumerate().map(|(i, behavior)| {
         let mut host = Peer::join(&world, Role::Host(*behavior), &attempts);
-        let address = at(&format!("127.0.0.1:{}", 800 + i));
+        let address = socket_address(&format!("127.0.0.1:{}", 800 + i));
         host.net.listen(address).unwrap();
         host
     });
@@ -247,7 +252,9 @@
     );
     let classes_with_key = vec![false, true, false];
     let ingress = PlatformIngress::new(0, max_clients, classes_with_key);
-    gateway.add_ingress(at(GATEWAY), Box::new(ingress)).unwrap();
+    gateway
+        .add_ingress(socket_address(GATEWAY), Box::new(ingress))
+        .unwrap();
     let mut site = Site {
         world,
         gateway,
@@ -262,7 +269,8 @@
     site
 }
 
-/// A gateway that has so many hosts in its configuration, and reads the board's address again from `moved_board`.
+/// Creates a gateway with this number of hosts in its configuration. When it reloads, it reads the
+/// board's address from `moved_board`.
 fn gateway(
     net: Memory,
     hosts: usize,
@@ -295,8 +303,11 @@
         settings: config.settings,
         discovery: config.notice_board,
         discovery_retry: 2_500,
-        peers: vec![Some(at("127.0.0.1:720")), Some(at(SIBLING))],
-        peer_listen: Some(at("127.0.0.1:720")),
+        peers: vec![
+            Some(socket_address("127.0.0.1:720")),
+            Some(socket_address(SIBLING)),
+        ],
+        peer_listen: Some(socket_address("127.0.0.1:720")),
         limits: limits(max_worker_connections),
         failover: None,
     };
@@ -338,7 +349,7 @@
     format!("*{}\r\n{}", words.len(), words.concat())
 }
 
-/// A call of this request id.
+/// Encodes a call with this request id.
 pub fn call(tag: u64, request_id: u64, class: &str, patience: u64) -> String {
     let fields = format!(
         "trace={request_id:016x},patience={patience},customer=acme,nonce=n{request_id},entity={FUNCTION},extras=lanes:100"
@@ -346,14 +357,14 @@
     command(&["CALL", &tag.to_string(), class, &fields, "body"])
 }
 
-/// A board's response with one notice.
+/// Encodes a board's response with one notice.
 pub fn poll_response(rev: u64, hosts: &[String], full: bool) -> String {
     let pool = format!(
         "{{\"version\":1,\"full\":{full},\"servers\":[{}]}}",
         hosts.join(",")
     );
     let body = format!("{{\"rev\":{rev},\"notices\":[{{\"rev\":{rev},\"pool\":{pool}}}]}}");
-    // The codec accepts it as JSON.
+    // The body must be valid JSON.
     assert!(notice_board::parse_json(body.as_bytes()).is_ok());
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -371,14 +382,14 @@
     }
 
     pub fn connect(&mut self) -> Conn {
-        self.client.net.connect(at(GATEWAY), SECOND)
+        self.client.net.connect(socket_address(GATEWAY), SECOND)
     }
 
     pub fn send(&mut self, conn: Conn, text: &str) {
         assert!(self.client.net.write(conn, text.as_bytes()));
     }
 
-    /// One call on a connection of its own; what was replied within this time.
+    /// Makes a call on a connection of its own. Returns what was received within this time.
     pub fn call_and_wait(&mut self, class: &str, time: Time) -> String {
         self.tag += 1;
         let conn = self.connect();
--- a/crates/tidewall-platform-ingress/tests/endpoint_age.rs
+++ b/crates/tidewall-platform-ingress/tests/endpoint_age.rs
@@ -1,4 +1,5 @@
-//! What counts as news of the board: workers are asked themselves before they get work unless its answer proves the list.
+//! Which board responses confirm the endpoint list. If none does, the gateway health-checks workers
+//! before it sends them requests.
 #![allow(clippy::unwrap_used, missing_docs)]
 mod common;
 
@@ -19,21 +20,21 @@
 #[test_case(poll_response(2, &[host(0, "up")], false), true; "a change")]
 #[test_case(http("200 OK", "{\"rev\":0,\"notices\":[]}"), false; "an older revision")]
 #[test_case(http("200 OK", "{\"rev\":9,\"notices\":[]}"), false; "a revision with changes missing")]
-#[test_case(http("500 Internal Server Error", "{\"rev\":1,\"notices\":[]}"), false; "an error")]
-#[test_case(http("200 OK", "{\"rev\":1}"), false; "no notices")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\n{\"rev\":1,".to_string(), false; "half an answer")]
-#[test_case(String::new(), false; "silence")]
-fn a_complete_answer_of_the_present_revision_proves_the_list(response: String, proves: bool) {
+#[test_case(http("500 Internal Server Error", "{\"rev\":1,\"notices\":[]}"), false; "an error status")]
+#[test_case(http("200 OK", "{\"rev\":1}"), false; "a response without notices")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\n{\"rev\":1,".to_string(), false; "an incomplete response")]
+#[test_case(String::new(), false; "no response")]
+fn complete_responses_of_the_current_revision_confirm_the_list(response: String, confirms: bool) {
     let mut s = site(&[HostBehavior::Answers]);
     let conn = s.board.open_conns[0];
     s.board.net.write(conn, response.as_bytes());
     s.advance(100);
     assert_eq!(s.call_and_wait("check", 1000), ok(1));
-    assert_eq!(health_checks(&s) == 0, proves);
+    assert_eq!(health_checks(&s) == 0, confirms);
 }
 
 #[test]
-fn a_list_is_overdue_once_the_next_answer_is() {
+fn an_overdue_response_makes_the_list_stale() {
     let mut s = site(&[HostBehavior::Answers]);
     let conn = s.board.open_conns[0];
     let nothing_new = http("200 OK", "{\"rev\":1,\"notices\":[]}");
@@ -41,15 +42,17 @@
     s.advance(SECOND);
     assert_eq!(s.call_and_wait("check", 1000), ok(1));
     assert_eq!(health_checks(&s), 0);
-    // Its own answer proves the worker for the grace period; then it is asked.
+    // The worker's own answer proves that it is there for the grace period; after that, the gateway
+    // health-checks it.
     s.advance(3 * SECOND);
     assert_eq!(s.call_and_wait("check", 1000), ok(1));
     assert_eq!(health_checks(&s), 1);
 }
 
-/// What lay in the sockets of a process that stood still is as old as that.
+/// A response that waited in the socket while the process was stalled proves the state at the time
+/// of the poll, not at the time of reading.
 #[test]
-fn an_answer_that_was_read_late_proves_what_was_when_it_was_asked() {
+fn a_response_read_late_confirms_the_list_as_of_its_poll() {
     let mut s = site(&[HostBehavior::Answers]);
     s.advance(100);
     s.gateway_net.still(true);
--- a/crates/tidewall-platform-ingress/tests/error_texts.rs
+++ b/crates/tidewall-platform-ingress/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The texts that clients and the log get stay as they are on the users' pages.
+//! Error messages that clients and the log get are as the user documentation states them.
 #![allow(clippy::unwrap_used, missing_docs)]
 use tidewall_platform::client_command::{CallError, CommandError};
 use tidewall_platform::config;
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn errors_of_clients() {
+fn errors_of_clients_have_documented_texts() {
     let texts = [
         ConnectionError::TagReused.to_string(),
         ConnectionError::from(CommandError::Tag).to_string(),
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn errors_of_datagrams_and_reloads() {
-    let unread = std::fs::read("no such file").unwrap_err();
-    let text = unread.to_string();
-    assert_eq!(ReloadError::from(unread).to_string(), text);
+fn errors_of_datagrams_and_reloads_have_documented_texts() {
+    let read_error = std::fs::read("no such file").unwrap_err();
+    let text = read_error.to_string();
+    assert_eq!(ReloadError::from(read_error).to_string(), text);
     let no_address = config::parse_notice_board(b"{}").unwrap_err();
     let texts = [
         PeerDatagramError::UnknownSender.to_string(),
--- a/crates/tidewall-platform-ingress/tests/service.rs
+++ b/crates/tidewall-platform-ingress/tests/service.rs
@@ -1,4 +1,5 @@
-//! The gateway on the platform: each rule that it keeps on its sockets, with the fault that tries it.
+//! Tests of the gateway on the platform: each rule of its protocols, with a fault that could break
+//! it.
 #![allow(clippy::unwrap_used, missing_docs)]
 mod common;
 
@@ -32,13 +33,14 @@
     );
 }
 
-// A malformed answer's request was executed: it is retried where that is safe, at any host, and nothing of the answer is passed on.
-#[test_case("ID ok - 2\r\nyes\r\n", "check", true; "a length that does not fit")]
-#[test_case("ID ok - 3000000000\r\nyesyes", "record", true; "three gigabytes")]
-#[test_case("\u{1}\u{2}noise\r\n", "check", true; "noise")]
-#[test_case("ID ok - 40\r\nyes\r\n", "record", true; "it stops half-way and stays open")]
-#[test_case("ID ok - 2\r\nyes\r\n", "issue", false; "at most once")]
-#[test_case("ID ok - 40\r\nyes\r\n", "issue", false; "at most once, half-way")]
+// The request of a malformed answer was executed. It is retried on any host if that is safe, and
+// nothing of the answer is passed on to the client.
+#[test_case("ID ok - 2\r\nyes\r\n", "check", true; "a wrong length")]
+#[test_case("ID ok - 3000000000\r\nyesyes", "record", true; "a length of 3 GB")]
+#[test_case("\u{1}\u{2}noise\r\n", "check", true; "binary data")]
+#[test_case("ID ok - 40\r\nyes\r\n", "record", true; "an incomplete answer on an open connection")]
+#[test_case("ID ok - 2\r\nyes\r\n", "issue", false; "non-idempotent, a wrong length")]
+#[test_case("ID ok - 40\r\nyes\r\n", "issue", false; "non-idempotent, an incomplete answer")]
 fn malformed_answers_are_retried_where_safe(sent: &'static str, class: &str, retried: bool) {
     let mut s = site(&[HostBehavior::SendsOnce(sent), HostBehavior::SendsOnce(sent)]);
     let text = s.call_and_wait(class, 4000);
@@ -48,20 +50,20 @@
         (expected, if retried { 2 } else { 1 })
     );
     for host in &s.hosts {
-        let line = host
+        let conns = host
             .received_texts
             .iter()
             .filter(|r| r.text.starts_with("go "))
             .map(|r| r.conn)
             .collect::<Vec<_>>();
         assert!(
-            line.len() < 2 || line[0] != line[1],
+            conns.len() < 2 || conns[0] != conns[1],
             "the same request id twice on one connection"
         );
     }
 }
 
-// Attempts on other connections of the same host go on.
+// Attempts on other connections to the same host go on.
 #[test]
 fn a_malformed_answer_ends_its_own_attempt_only() {
     let mut s = site(&[HostBehavior::Silent]);
@@ -87,21 +89,24 @@
     assert_eq!((s.call_and_wait("record", 1000), s.attempts()), (ok(1), 2));
 }
 
-#[test_case("ID ok - 3\r\nyes\r\nID ok - 3\r\nyes\r\n"; "a second copy")]
-#[test_case("00000000000000ff ok - 2\r\nno\r\nID ok - 3\r\nyes\r\n"; "one ahead under an unknown id")]
-fn answers_to_nothing_are_dropped(sent: &'static str) {
+#[test_case("ID ok - 3\r\nyes\r\nID ok - 3\r\nyes\r\n"; "a duplicate answer")]
+#[test_case("00000000000000ff ok - 2\r\nno\r\nID ok - 3\r\nyes\r\n"; "an answer with an unknown id")]
+fn answers_to_unknown_requests_are_ignored(sent: &'static str) {
     let mut s = site(&[HostBehavior::Sends(sent)]);
     for _ in 0..3 {
         assert_eq!(s.call_and_wait("issue", 500), ok(1));
     }
-    assert!(s.hosts[0].closed_conns.is_empty(), "the connection is good");
+    assert!(
+        s.hosts[0].closed_conns.is_empty(),
+        "the connection must stay open"
+    );
 }
 
 #[test_case("nothing", true; "miss")]
-#[test_case("refused", true; "full")]
-#[test_case("stale", true; "over already")]
-#[test_case("error", false; "may have run")]
-fn what_was_not_executed_is_retried(word: &'static str, retried: bool) {
+#[test_case("refused", true; "at capacity")]
+#[test_case("stale", true; "expired or cancelled")]
+#[test_case("error", false; "may have been executed")]
+fn attempts_that_were_not_executed_are_retried(word: &'static str, retried: bool) {
     let sent: &'static str = Box::leak(format!("ID {word} - 0\r\n\r\n").into_boxed_str());
     let mut s = site(&[HostBehavior::SendsOnce(sent), HostBehavior::SendsOnce(sent)]);
     let text = s.call_and_wait("issue", 10_000);
@@ -136,10 +141,11 @@
     assert_eq!(s.gateway.calls_in_flight(), 0);
 }
 
-// The fleet's join day: eight replies to 270,000 requests fell due in a stall of 2 to 58 ms and were dropped as too late, so their
-// clients, who had not cancelled, never got one. Until CANCEL a reply is owed.
+// In the "join" run of the whole fleet, eight replies to 270,000 requests became due during a stall
+// of 2 to 58 ms and were dropped as too late. Their clients had not cancelled and never got a
+// reply. Until a CANCEL arrives, a reply is due.
 #[test]
-fn a_stall_over_a_deadline_loses_no_request() {
+fn a_stall_across_a_deadline_loses_no_reply() {
     let mut s = site(&[HostBehavior::Silent]);
     let conn = s.connect();
     s.send(conn, &call(1, 9, "issue", 2000));
@@ -154,16 +160,17 @@
     );
 }
 
-// One connection to each of hundreds of workers is more than 256 descriptors: their number is bounded, and an idle one makes room.
+// One connection to each of hundreds of workers would exceed 256 descriptors. The number of worker
+// connections is limited, and an idle one is closed to make room.
 #[test_case(HostBehavior::Answers, 40, 0; "idle ones make room")]
-#[test_case(HostBehavior::Silent, 0, 40; "with none idle the rest is rejected")]
+#[test_case(HostBehavior::Silent, 0, 40; "if none is idle, requests are rejected")]
 fn worker_connections_stay_within_their_limit(
     behavior: HostBehavior,
     completed: usize,
     rejected: usize,
 ) {
-    let links = 3;
-    let mut s = site_with_limits(&[behavior; 10], 128, links);
+    let max_connections = 3;
+    let mut s = site_with_limits(&[behavior; 10], 128, max_connections);
     let conn = s.connect();
     for i in 1..=40 {
         s.send(
@@ -172,25 +179,25 @@
         );
         s.advance(200);
         assert!(
-            s.gateway.worker_connections() <= links,
+            s.gateway.worker_connections() <= max_connections,
             "{}",
             s.gateway.worker_connections()
         );
     }
     s.advance(3 * SECOND);
     let text = s.client.text(conn);
-    let words = ["OK", "BUSY", "FAILED"].map(|w| text.matches(&format!("\r\n{w}\r\n")).count());
+    let counts = ["OK", "BUSY", "FAILED"].map(|w| text.matches(&format!("\r\n{w}\r\n")).count());
     assert_eq!(
-        (words, s.gateway.requests_in_flight()),
+        (counts, s.gateway.requests_in_flight()),
         ([completed, rejected, 0], 0)
     );
 }
 
-// A malformed client gets an error within 3 s; a good one beside it is not affected.
+// A malformed client gets an error within 3 s. A well-behaved client is not affected.
 #[test_case("GET / HTTP/1.1\r\n\r\n", "-ERR array: '*' expected\r\n"; "another protocol")]
-#[test_case("*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$5\r\ncheck\r\n$0\r\n\r\n$60000000\r\n", "-ERR word: 60000000 bytes, at most 16384\r\n"; "sixty megabytes")]
+#[test_case("*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$5\r\ncheck\r\n$0\r\n\r\n$60000000\r\n", "-ERR word: 60000000 bytes, at most 16384\r\n"; "a payload of 60 MB")]
 #[test_case("*2\r\n$-1\r\n", "-ERR word: no number\r\n"; "a negative length")]
-#[test_case("*3\r\n$4\r\nCA", ""; "half a command")]
+#[test_case("*3\r\n$4\r\nCA", ""; "an incomplete command")]
 #[test_case("", ""; "nothing at all")]
 fn malformed_clients_get_an_error_and_are_closed(sent: &str, error: &str) {
     let mut s = site(&[HostBehavior::Answers]);
@@ -211,10 +218,10 @@
     );
 }
 
-// An invalid call fails alone; the others on its connection go on.
-#[test_case("nosuch", "acme", "1"; "an unknown type")]
+// An invalid call fails alone; other calls on its connection go on.
+#[test_case("nosuch", "acme", "1"; "an unknown class")]
 #[test_case("check", "nobody", "1"; "an unknown tenant")]
-#[test_case("check", "acme", "NaN"; "no number")]
+#[test_case("check", "acme", "NaN"; "a hint that is not a number")]
 fn an_invalid_call_fails_alone(class: &str, tenant: &str, weight: &str) {
     let mut s = site(&[HostBehavior::Answers]);
     let conn = s.connect();
@@ -281,9 +288,10 @@
     );
 }
 
-// With all connections taken: silent ones are closed first, oldest first; one with an open call never is.
+// At the connection limit, connections without a command are closed first, oldest first. A
+// connection with an open call is never closed.
 #[test]
-fn silent_connections_make_room() {
+fn connections_without_commands_are_closed_first() {
     let mut s = site_with_limits(&[HostBehavior::Silent], 4, 100);
     let busy = s.connect();
     s.send(busy, &call(1, 1, "check", 2000));
@@ -299,13 +307,14 @@
     assert_eq!(s.client.closed_conns, silent[..2]);
 }
 
-// All connections are taken by clients that called once and stay: the one idle for longest is closed, not the one that was just
-// accepted with a call on its way. (Soak, seed 20261202: each new one was closed at once, and its request lost.)
-#[test_case(0; "it asks with its connection")]
-#[test_case(400; "it asks a little later")]
-fn a_new_connection_is_not_the_one_that_makes_room(later: u64) {
+// All connections are taken by clients that made one call and stay connected. The longest idle one
+// is closed, not the one that was just accepted and whose call is on its way. In a soak test (seed
+// 20261202), each new connection was closed at once and its request was lost.
+#[test_case(0; "the call follows the connection at once")]
+#[test_case(400; "the call comes a little later")]
+fn the_longest_idle_connection_makes_room_for_a_new_one(delay: u64) {
     let mut s = site_with_limits(&[HostBehavior::Answers], 4, 100);
-    let stay: Vec<_> = (1..=4)
+    let idle: Vec<_> = (1..=4)
         .map(|i| {
             let conn = s.connect();
             s.send(conn, &call(1, i, "check", 2000));
@@ -314,14 +323,15 @@
         })
         .collect();
     let new = s.connect();
-    s.advance(later);
+    s.advance(delay);
     s.send(new, &call(1, 9, "check", 2000));
     s.advance(SECOND);
-    assert_eq!(s.client.closed_conns, stay[..1]);
+    assert_eq!(s.client.closed_conns, idle[..1]);
     assert_eq!(s.client.text(new), ok(1));
 }
 
-// What it does not read is bounded, and its connection does not stay for ever; one that reads is not affected.
+// Output for a client that does not read is limited, and its connection is closed. Clients that
+// read are not affected.
 #[test]
 fn a_client_that_never_reads_is_closed() {
     let sent: &'static str =
@@ -331,7 +341,7 @@
     s.advance(10);
     s.client.net.set_read_paused(slow, true);
     for i in 1..=20 {
-        // It may be cut off by then.
+        // The connection may already be closed.
         s.client
             .net
             .write(slow, call(i, i, "check", 2000).as_bytes());
@@ -365,9 +375,9 @@
     assert_eq!(s.hosts[0].lines("go").len(), before);
 }
 
-// Long days: hosts are replaced by new ones, some at the address of one that has gone.
+// In long runs, hosts are replaced by new ones, some with the address of a removed host.
 #[test]
-fn replaced_hosts_do_not_add_up() {
+fn replaced_hosts_are_forgotten() {
     let mut s = site(&[HostBehavior::Answers]);
     for rev in 2..=20 {
         let old = host(0, "removed")
@@ -385,9 +395,9 @@
     );
 }
 
-// The next poll asks from the revision of the last response that was complete.
-#[test_case(false; "its connection is reset in a response")]
-#[test_case(true; "it falls silent")]
+// The next poll starts from the revision of the last complete response.
+#[test_case(false; "the connection is reset within a response")]
+#[test_case(true; "the board falls silent")]
 fn the_board_is_polled_again_after_a_fault(silent: bool) {
     let mut s = site(&[HostBehavior::Answers]);
     s.board
@@ -402,30 +412,30 @@
         s.advance(10);
         s.board.net.reset(conn);
     }
-    let (before, span) = (
+    let (before, wait) = (
         s.board.received_texts.len(),
         if silent { 2 * SECOND } else { 2000 },
     );
-    s.advance(span);
-    let asked = &s.board.received_texts[before..];
+    s.advance(wait);
+    let polls = &s.board.received_texts[before..];
     assert!(
-        !asked.is_empty() && asked[0].conn != conn && asked[0].text.contains("watch=2&"),
-        "{asked:?}"
+        !polls.is_empty() && polls[0].conn != conn && polls[0].text.contains("watch=2&"),
+        "{polls:?}"
     );
 }
 
 #[test]
-fn a_reload_moves_the_board_and_loses_nothing() {
+fn a_reload_changes_the_board_address_and_loses_no_request() {
     let mut s = site(&[HostBehavior::Silent]);
     let conn = s.connect();
     s.send(conn, &call(1, 1, "issue", 2000));
     s.advance(100);
-    // A file that cannot be read: the old one stays.
+    // The configuration cannot be read, so the old one stays in use.
     s.gateway.signal_received(1);
     s.advance(100);
     assert_eq!(s.board.received_texts.len(), 1);
-    s.board.net.listen(at("127.0.0.1:711")).unwrap();
-    s.moved_board.set(Some(at("127.0.0.1:711")));
+    s.board.net.listen(socket_address("127.0.0.1:711")).unwrap();
+    s.moved_board.set(Some(socket_address("127.0.0.1:711")));
     s.gateway.signal_received(1);
     s.advance(100);
     assert_eq!(s.board.received_texts.len(), 2);
@@ -439,32 +449,32 @@
     );
 }
 
-// The sender of a datagram is known by its address alone.
-#[test_case(SIBLING, 256, 0; "a sibling's")]
-#[test_case(SIBLING, 257, 1; "one that is too long")]
-#[test_case("127.0.0.1:799", 5, 1; "a stranger's")]
+// The sender of a datagram is identified by its address only.
+#[test_case(SIBLING, 256, 0; "from a sibling")]
+#[test_case(SIBLING, 257, 1; "too long")]
+#[test_case("127.0.0.1:799", 5, 1; "from an unknown address")]
 fn peer_datagrams_are_bounded_and_from_siblings(from: &str, size: usize, malformed: u64) {
     let mut s = site(&[HostBehavior::Answers]);
-    let (port, _) = s.client.net.bind_datagram(at(from)).unwrap();
+    let (port, _) = s.client.net.bind_datagram(socket_address(from)).unwrap();
     s.client
         .net
-        .send_datagram(port, at("127.0.0.1:720"), &vec![7; size]);
+        .send_datagram(port, socket_address("127.0.0.1:720"), &vec![7; size]);
     s.advance(100);
     assert_eq!(s.gateway.counters().malformed, malformed);
 }
 
-#[test_case(256, 256; "as it is")]
-#[test_case(257, 0; "not one that is too long")]
+#[test_case(256, 256; "the maximum length is unchanged")]
+#[test_case(257, 0; "a longer one is dropped")]
 fn peer_datagrams_are_sent_as_they_are(size: usize, written: usize) {
     let mut out = Vec::new();
     HostProtocol.write_peer_datagram(&mut out, 3, &vec![7; size]);
     assert_eq!(out, vec![7; written]);
 }
 
-// A front end sends on for a while after the signal: its calls are admitted, CHECK says DOWN, and the gateway exits when all have
-// replies.
+// A front end keeps sending for a while after the signal. Its calls are admitted, CHECK replies
+// DOWN, and the gateway exits when all calls have replies.
 #[test]
-fn graceful_shutdown_admits_what_still_comes() {
+fn graceful_shutdown_admits_calls_that_still_arrive() {
     let mut s = site(&[HostBehavior::Answers]);
     let conn = s.connect();
     s.send(conn, &command(&["CHECK", "1", ""]));
