--- a/crates/tidewall-bench-adapter/src/error.rs
+++ b/crates/tidewall-bench-adapter/src/error.rs
@@ -1,136 +1,137 @@
-//! Why the adapter ends early. Each text is one line that names the line of the input, and the field where there is one.
+//! Errors that end the adapter before the end of its input. Each message is one line that names the
+//! input line, and the field if there is one.
 use thiserror::Error;
 use tidewall::settings::SettingsError;
 
-/// A line that cannot be meant.
+/// A line cannot be decoded or applied.
 #[derive(Debug, Error)]
 pub enum FieldError {
-    /// A part of the line without an equals sign.
+    /// A part of the line has no equals sign.
     #[error("'{part}' is not name=value")]
     NotAPair {
-        /// The part.
+        /// The part without an equals sign.
         part: String,
     },
-    /// A field without which the event says nothing is left out or empty.
+    /// A required field is missing or empty.
     #[error("field {field} is missing")]
     Missing {
         /// Name of the field.
         field: &'static str,
     },
-    /// A value that is not of the field's type.
+    /// A value cannot be parsed as the field's type.
     #[error("field {field}: '{value}' is not a valid value")]
     Invalid {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// A number that is negative, infinite or too large.
+    /// A number is negative, infinite or too large.
     #[error("field {field}: '{value}' is out of range")]
     OutOfRange {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
-    /// A flag that is neither set nor clear.
+    /// A flag is neither 0 nor 1.
     #[error("field {field}: '{value}' is neither 0 nor 1")]
     NotAFlag {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// A word that is not among those that the field may have.
+    /// A word is not one of the field's values.
     #[error("field {field}: '{value}' is no {expected}")]
     UnknownWord {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
-        /// What the field holds.
+        /// What kind of value the field holds.
         expected: &'static str,
     },
-    /// A name that the settings do not have.
+    /// A name is not in the settings.
     #[error("field {field}: '{value}' is unknown")]
     UnknownName {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// A gateway's name that is not of the form that names one.
+    /// A gateway's name does not have the form `gateway/NUMBER`.
     #[error("field {field}: '{value}' is not an instance")]
     NotAGateway {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// An event of a gateway that has not started or was killed.
+    /// An event is for a gateway that has not started or was killed.
     #[error("field {field}: this instance is not up")]
     GatewayNotRunning {
         /// Name of the field.
         field: &'static str,
     },
-    /// A part of a load report that is not a name with a finite number.
+    /// An entry of a load report is not a name with a finite number.
     #[error("field {field}: '{value}' is not name:number")]
     LoadReport {
         /// Name of the field.
         field: &'static str,
-        /// The part of the report.
+        /// The entry of the report.
         value: String,
     },
-    /// A peer's message that is not base64.
+    /// A peer message is not valid base64.
     #[error("field {field}: {cause}")]
     Payload {
         /// Name of the field.
         field: &'static str,
-        /// What is wrong with the encoding.
+        /// Why it cannot be decoded.
         cause: base64::DecodeError,
     },
-    /// Settings of a gateway with which it cannot start.
+    /// A gateway cannot start with its settings.
     #[error("field {field}: {cause}")]
     Settings {
-        /// Name that the simulator gives to the settings as a whole.
+        /// Name of the field that stands for all settings.
         field: &'static str,
-        /// The setting and what is wrong with it.
+        /// The setting and why it is invalid.
         cause: SettingsError,
     },
 }
 
-/// What is wrong with the input or the output at one line.
+/// What is wrong with the input or the output at a line.
 #[derive(Debug, Error)]
 pub enum LineErrorKind {
-    /// A field cannot be meant.
+    /// A field is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
     /// Standard input or output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// An event before the batch that it would belong to.
+    /// An event or a batch end comes outside a batch.
     #[error("'{event}' stands outside a batch")]
     OutsideBatch {
         /// First word of the line.
         event: String,
     },
-    /// Fewer entries of an endpoint list than its event announced.
+    /// An endpoint list has fewer entries than its event announced.
     #[error("field {field}: an entry is missing")]
     EntryMissing {
-        /// Name of the field that announced them.
+        /// Name of the field that announced the entries.
         field: &'static str,
     },
-    /// The input is over before the batch is.
+    /// The input ends inside a batch.
     #[error("input ends inside a batch")]
     EndsInsideBatch,
 }
 
-/// A failure and where it is.
+/// An error and the input line where it occurred.
 #[derive(Debug, Error)]
 #[error("line {line}: {kind}")]
 pub struct LineError {
     /// Line of the input, counted from 1.
     pub line: u64,
-    /// What is wrong there.
+    /// What is wrong with the line.
     pub kind: LineErrorKind,
 }
--- a/crates/tidewall-bench-adapter/src/gateways.rs
+++ b/crates/tidewall-bench-adapter/src/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways that run in this process. Each event is handed to the scheduler of its gateway.
+//! The gateways that run in this process. Each event is passed to the scheduler of its gateway.
 use crate::error::FieldError;
 use crate::host::SchedulerHost;
 use crate::wire::{self, EndpointUpdate, EventKind, Fields, LoadReport};
@@ -10,20 +10,20 @@
 
 type Gateway = Scheduler<SchedulerHost>;
 
-/// Running gateways by number; they share nothing.
+/// The running gateways by number. They share no state.
 #[derive(Default)]
 pub struct Gateways(BTreeMap<u64, Gateway>);
 
 impl Gateways {
-    /// Moves the commands of all gateways to the end of a reply, by their numbers.
+    /// Moves the commands of all gateways to the end of a reply, ordered by gateway number.
     pub fn drain_commands(&mut self, reply: &mut String) {
         for gateway in self.0.values_mut() {
             gateway.host.commands.drain_into(reply);
         }
     }
 
-    /// Applies one event; `entries` are the lines of an endpoint list that belong to it. A panic of the scheduler is
-    /// declared on the wire, by the line that is returned.
+    /// Applies one event; `entries` are the lines of its endpoint list. If the scheduler panics,
+    /// returns the line that reports this to the simulator.
     pub fn apply_guarded(
         &mut self,
         now: Time,
@@ -31,10 +31,10 @@
         entries: &[String],
     ) -> Result<Option<String>, FieldError> {
         match catch_unwind(AssertUnwindSafe(|| self.apply(now, event, entries))) {
-            Ok(applied) => applied.map(|()| None),
+            Ok(result) => result.map(|()| None),
             Err(panic) => Ok(Some(wire::scheduler_panicked(
                 event,
-                panic_text(panic.as_ref()),
+                panic_message(panic.as_ref()),
             ))),
         }
     }
@@ -46,7 +46,7 @@
             None => Ok(()),
             Some(EventKind::GatewayStarted) => self.start(now, &fields),
             Some(EventKind::GatewayKilled) => {
-                // Commands of this batch that it has called for go with it.
+                // The gateway's commands of this batch are lost with it.
                 self.0.remove(&fields.gateway()?);
                 Ok(())
             }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Hands an event to the scheduler of a running gateway.
+/// Passes an event to the scheduler of a running gateway.
 fn deliver(
     gateway: &mut Gateway,
     kind: EventKind,
@@ -83,7 +83,7 @@
     entries: &[String],
 ) -> Result<(), FieldError> {
     match kind {
-        // Both are handled before a running gateway is looked up.
+        // `apply` handles both before it looks up the running gateway.
         EventKind::GatewayStarted | EventKind::GatewayKilled => {}
         EventKind::EndpointUpdate => update_endpoints(gateway, fields, entries)?,
         EventKind::RequestArrived => request_arrived(gateway, fields)?,
@@ -156,10 +156,10 @@
 fn attempt_ended(gateway: &mut Gateway, fields: &Fields) -> Result<(), FieldError> {
     let end = fields.attempt_end()?;
     let worker = gateway.host.intern_worker(end.worker);
-    // The load counts even where the request is gone.
+    // The load report is valid even if the request no longer exists.
     load_reported(gateway, worker, end.report);
     if let Some(request) = gateway.host.find_request(fields.request_id()?) {
-        let outcome = (end.outcome, end.took);
+        let outcome = (end.outcome, end.duration);
         gateway.attempt_ended(request, end.attempt, outcome, end.finished, end.note);
     }
     Ok(())
@@ -171,8 +171,8 @@
     }
 }
 
-/// The text that a panic was raised with.
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
+/// Returns the message of a panic.
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| panic.downcast_ref::<&str>().copied())
         .unwrap_or("panic")
--- a/crates/tidewall-bench-adapter/src/main.rs
+++ b/crates/tidewall-bench-adapter/src/main.rs
@@ -1,9 +1,9 @@
-//! The program `tidewall-drill`: runs the schedulers of many gateways on the simulator's wire, on standard input and
-//! output. It decides nothing: it decodes events, hands them to the scheduler of their gateway, and writes what that
-//! calls for.
+//! The program `tidewall-drill`: runs the schedulers of many gateways on the simulator's line
+//! protocol, over standard input and output. It makes no decisions: it decodes events, passes each
+//! to the scheduler of its gateway, and writes the resulting commands.
 //!
-//! Exit codes: 0 at the end of the input; 2 where a line cannot be meant or input or output fails, with one line on
-//! standard error.
+//! Exit codes: 0 at the end of the input; 2 if a line is invalid or input or output fails, with a
+//! one-line message on standard error.
 mod error;
 mod gateways;
 mod host;
@@ -14,7 +14,8 @@
 use session::Session;
 
 fn main() {
-    // A panic of a scheduler is declared on the wire; here it is shown once, without a backtrace.
+    // A scheduler's panic is reported on the line protocol. This hook prints it once on standard
+    // error, without a backtrace.
     std::panic::set_hook(Box::new(|info| eprintln!("{info}")));
     let session = Session::new(std::io::stdin().lock(), std::io::stdout().lock());
     if let Err(error) = session.run() {
--- a/crates/tidewall-bench-adapter/src/names.rs
+++ b/crates/tidewall-bench-adapter/src/names.rs
@@ -1,4 +1,4 @@
-//! Names in a gateway's settings, by whose positions the scheduler knows them.
+//! Names in a gateway's settings. The scheduler refers to them by their position.
 use tidewall::settings::Settings;
 
 /// Lists of names from the settings of one gateway.
@@ -10,32 +10,32 @@
 }
 
 impl ConfiguredNames {
-    /// Reads the lists; one that is left out is empty.
+    /// Reads the lists from the settings. A missing list is empty.
     pub fn new(settings: &Settings) -> ConfiguredNames {
         ConfiguredNames {
-            classes: numbered(settings, "classes"),
-            tenants: numbered(settings, "tenants"),
-            zones: separated(settings, "zones"),
-            worker_kinds: separated(settings, "kinds"),
+            classes: numbered_names(settings, "classes"),
+            tenants: numbered_names(settings, "tenants"),
+            zones: comma_separated_names(settings, "zones"),
+            worker_kinds: comma_separated_names(settings, "kinds"),
         }
     }
 
-    /// Index of a request class, None where the settings have none of that name.
+    /// Returns the index of a request class; `None` if the settings have no class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
-    /// Index of a tenant, None where the settings have none of that name.
+    /// Returns the index of a tenant; `None` if the settings have no tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|tenant| tenant == name)
     }
 
-    /// Index of a zone, `u32::MAX` where it is unknown or not given.
+    /// Returns the index of a zone; `u32::MAX` if the name is unknown or missing.
     pub fn zone(&self, name: Option<&str>) -> u32 {
         index_of(&self.zones, name)
     }
 
-    /// Index of a kind of machine, `u32::MAX` where it is unknown or not given.
+    /// Returns the index of a machine type; `u32::MAX` if the name is unknown or missing.
     pub fn worker_kind(&self, name: Option<&str>) -> u32 {
         index_of(&self.worker_kinds, name)
     }
@@ -46,15 +46,15 @@
     position.map_or(u32::MAX, |index| index as u32)
 }
 
-/// Names of sections that are numbered from 0 without a gap.
-fn numbered(settings: &Settings, list: &str) -> Vec<String> {
+/// Returns the names of the sections of a list, which are numbered from 0 without gaps.
+fn numbered_names(settings: &Settings, list: &str) -> Vec<String> {
     (0..)
         .map_while(|index| settings.get(&format!("{list}.{index}.name")).cloned())
         .collect()
 }
 
-/// Names in one setting, separated by commas.
-fn separated(settings: &Settings, key: &str) -> Vec<String> {
+/// Returns the comma-separated names in one setting.
+fn comma_separated_names(settings: &Settings, key: &str) -> Vec<String> {
     settings.get(key).map_or(Vec::new(), |names| {
         names.split(',').map(str::to_string).collect()
     })
--- a/crates/tidewall-bench-adapter/src/session.rs
+++ b/crates/tidewall-bench-adapter/src/session.rs
@@ -1,21 +1,22 @@
-//! One run on the simulator's wire: batches of events are read, and each batch is answered with commands.
+//! A session of the simulator's line protocol: reads batches of events and replies to each batch
+//! with commands.
 use crate::error::{LineError, LineErrorKind};
 use crate::gateways::Gateways;
 use crate::wire::{self, Line};
 use std::io::{self, BufRead, Write};
 use tidewall::interface::Time;
 
-/// Input and output of a run, and the gateways that run in it.
+/// Input and output of a session, and the gateways that run in it.
 pub struct Session<R, W> {
     input: R,
     output: W,
-    /// The line that was read last.
+    /// The last line read.
     line: String,
-    /// Its number, counted from 1.
+    /// Number of the last line read, counted from 1.
     line_number: u64,
-    /// Lines of an endpoint list that belong to an event.
+    /// Endpoint list entries of the current event.
     entries: Vec<String>,
-    /// The reply to the current batch so far.
+    /// Lines of the reply to the current batch.
     reply: String,
     /// Time of the current batch.
     now: Time,
@@ -24,7 +25,7 @@
 }
 
 impl<R: BufRead, W: Write> Session<R, W> {
-    /// A run that has read nothing.
+    /// Creates a session that has not read anything yet.
     pub fn new(input: R, output: W) -> Session<R, W> {
         Session {
             input,
@@ -39,10 +40,11 @@
         }
     }
 
-    /// Answers batches until the input ends.
+    /// Replies to batches until the input ends.
     ///
     /// # Errors
-    /// Where input or output fails, a line cannot be meant, or the input ends inside a batch. The batch is not answered.
+    /// If input or output fails, a line is invalid, or the input ends inside a batch. The current
+    /// batch gets no reply.
     pub fn run(mut self) -> Result<(), LineError> {
         while self.read_line()? {
             self.handle_line()?;
@@ -53,7 +55,7 @@
         Ok(())
     }
 
-    /// Reads the next line without its end; false where the input is over.
+    /// Reads the next line and strips its line end. Returns false at the end of the input.
     fn read_line(&mut self) -> Result<bool, LineError> {
         self.line.clear();
         self.line_number += 1;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Sends what the gateways call for, all at once.
+    /// Writes the reply to the current batch: the commands of all gateways and the end mark.
     fn answer_batch(&mut self) -> io::Result<()> {
         self.in_batch = false;
         self.gateways.drain_commands(&mut self.reply);
@@ -94,7 +96,7 @@
     }
 
     fn handle_event(&mut self) -> Result<(), LineError> {
-        // The entries of an endpoint list are read into the same buffer, so the event needs its own.
+        // The entries of the endpoint list are read into `self.line`, so the event is cloned first.
         let (event, event_line) = (self.line.clone(), self.line_number);
         self.entries.clear();
         for _ in 0..wire::entry_count(&event).map_err(|cause| self.error(cause))? {
@@ -105,16 +107,16 @@
             }
             self.entries.push(self.line.clone());
         }
-        let applied = self.gateways.apply_guarded(self.now, &event, &self.entries);
-        let panicked = applied.map_err(|cause| LineError {
+        let result = self.gateways.apply_guarded(self.now, &event, &self.entries);
+        let panic_line = result.map_err(|cause| LineError {
             line: event_line,
             kind: cause.into(),
         })?;
-        self.reply.push_str(panicked.as_deref().unwrap_or(""));
+        self.reply.push_str(panic_line.as_deref().unwrap_or(""));
         Ok(())
     }
 
-    /// An error at the line that was read last.
+    /// Creates an error at the last line read.
     fn error(&self, kind: impl Into<LineErrorKind>) -> LineError {
         LineError {
             line: self.line_number,
--- a/crates/tidewall-bench-adapter/src/wire/commands.rs
+++ b/crates/tidewall-bench-adapter/src/wire/commands.rs
@@ -1,17 +1,18 @@
-//! Commands to the simulator: what a gateway's scheduler calls for, as lines.
+//! Encodes the commands of a gateway's scheduler to the simulator as lines.
 use super::{split_event, GATEWAY};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use std::fmt::{self, Display, Write};
 use tidewall::interface::Time;
 
-/// Ends the reply to a batch.
+/// Appends the line that ends the reply to a batch.
 pub fn push_batch_end(reply: &mut String) {
     reply.push_str("EOR\n");
 }
 
-/// The line which says that the scheduler panicked over `event`, with the panic's text.
+/// Encodes the line that reports a panic of the scheduler while it handled `event`. `text` is the
+/// panic's message.
 pub fn scheduler_panicked(event: &str, text: &str) -> String {
-    // Fields are not parsed here, as the panic may have come of them.
+    // The fields are not decoded, as decoding them may have caused the panic.
     let gateway = split_event(event)
         .1
         .split(' ')
@@ -21,14 +22,14 @@
     format!("BROKEN {GATEWAY}={gateway} note-text={text}\n")
 }
 
-/// Commands of one gateway that wait for the end of the batch.
+/// Commands of one gateway that are sent at the end of the batch.
 pub struct CommandBuffer {
     gateway: String,
     lines: String,
 }
 
 impl CommandBuffer {
-    /// No commands of the gateway of that name.
+    /// Creates an empty buffer for the gateway with this name.
     pub fn new(gateway: &str) -> CommandBuffer {
         CommandBuffer {
             gateway: gateway.to_string(),
@@ -42,8 +43,8 @@
         self.lines.clear();
     }
 
-    /// Sends a request to a worker.
-    pub fn attempt(&mut self, request: &str, worker: &str, timeout: Time) {
+    /// Sends an attempt of a request to a worker.
+    pub fn push_attempt(&mut self, request: &str, worker: &str, timeout: Time) {
         let timeout = Milliseconds(timeout);
         self.push(
             "TRY",
@@ -52,12 +53,12 @@
     }
 
     /// Cancels an attempt of a request.
-    pub fn cancellation(&mut self, request: &str, attempt: usize) {
+    pub fn push_cancellation(&mut self, request: &str, attempt: usize) {
         self.push("ABANDON", format_args!(" msg-id={request} shot={attempt}"));
     }
 
-    /// Rejects a request with a Retry-After.
-    pub fn rejection(&mut self, request: &str, retry_after: Time) {
+    /// Rejects a request, with the time after which the client may retry.
+    pub fn push_rejection(&mut self, request: &str, retry_after: Time) {
         let retry_after = Milliseconds(retry_after);
         self.push(
             "REFUSE",
@@ -65,52 +66,53 @@
         );
     }
 
-    /// Fails a request.
-    pub fn failure(&mut self, request: &str) {
+    /// Reports the failure of a request.
+    pub fn push_failure(&mut self, request: &str) {
         self.push("ABORT", format_args!(" msg-id={request}"));
     }
 
     /// Sets a timer.
-    pub fn timer(&mut self, delay: Time, token: u64) {
+    pub fn push_timer(&mut self, delay: Time, token: u64) {
         let delay = Milliseconds(delay);
         self.push("SCHEDULE", format_args!(" in-ms={delay} ctx={token}"));
     }
 
-    /// Asks a worker for its health and load.
-    pub fn health_check(&mut self, worker: &str) {
+    /// Requests a worker's health and load.
+    pub fn push_health_check(&mut self, worker: &str) {
         self.push("ASK_LOAD", format_args!(" host={worker}"));
     }
 
-    /// Closes idle connections to a worker.
-    pub fn idle_close(&mut self, worker: &str) {
+    /// Closes the idle connections to a worker.
+    pub fn push_idle_close(&mut self, worker: &str) {
         self.push("HANG_UP", format_args!(" host={worker}"));
     }
 
-    /// Asks a worker to keep so many instances of a function loaded.
-    pub fn load_request(&mut self, function: &str, worker: &str, instances: u32) {
+    /// Requests that a worker keeps this many instances of a function loaded.
+    pub fn push_load_request(&mut self, function: &str, worker: &str, instances: u32) {
         self.push(
             "START_COPY",
             format_args!(" target-fn={function} host={worker} count={instances}"),
         );
     }
 
-    /// Lets a worker unload its instances of a function.
-    pub fn unload(&mut self, function: &str, worker: &str) {
+    /// Allows a worker to unload its instances of a function.
+    pub fn push_unload(&mut self, function: &str, worker: &str) {
         self.push("EVICT", format_args!(" target-fn={function} host={worker}"));
     }
 
     /// Starts or stops watching the endpoint list.
-    pub fn endpoint_watch(&mut self, on: bool) {
-        self.push("FOLLOW", format_args!(" enable={}", u8::from(on)));
+    pub fn push_endpoint_watch(&mut self, enabled: bool) {
+        self.push("FOLLOW", format_args!(" enable={}", u8::from(enabled)));
     }
 
-    /// Asks for the endpoint list once.
-    pub fn endpoint_poll(&mut self) {
+    /// Polls the endpoint list once.
+    pub fn push_endpoint_poll(&mut self) {
         self.push("LOOKUP", format_args!(""));
     }
 
-    /// Sends a message to one gateway of the fleet, or to all; a dash stands for one without bytes.
-    pub fn peer_message(&mut self, peer: Option<u32>, bytes: &[u8]) {
+    /// Sends a message to one peer gateway, or to all if `peer` is `None`. `-` stands for an empty
+    /// message.
+    pub fn push_peer_message(&mut self, peer: Option<u32>, bytes: &[u8]) {
         let payload = if bytes.is_empty() {
             "-".to_string()
         } else {
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Writes to the simulator's log; a command is one line, so line ends become blanks.
-    pub fn log_note(&mut self, text: &str) {
+    /// Writes a line to the simulator's log. A command is one line, so line ends become spaces.
+    pub fn push_log_note(&mut self, text: &str) {
         self.push(
             "SAY_LOG",
             format_args!(" note-text={}", text.replace('\n', " ")),
@@ -140,7 +142,7 @@
     }
 }
 
-/// Tenths of a millisecond as the wire's milliseconds.
+/// Formats a time in tenths of a millisecond as decimal milliseconds.
 struct Milliseconds(Time);
 
 impl Display for Milliseconds {
--- a/crates/tidewall-bench-adapter/src/wire/events.rs
+++ b/crates/tidewall-bench-adapter/src/wire/events.rs
@@ -1,5 +1,5 @@
-//! Events of the simulator and their fields, by the scheduler's terms. Fields are read in a fixed order, so that of
-//! several faults in one line the same one is always named.
+//! Decodes events of the simulator and their fields into the scheduler's terms. Fields are decoded
+//! in a fixed order, so that of several errors in one line always the same one is reported.
 use super::{Fields, GATEWAY};
 use crate::error::FieldError;
 use crate::names::ConfiguredNames;
@@ -8,18 +8,18 @@
 use tidewall::interner::fnv1a;
 use tidewall::settings::Settings;
 
-/// What an event tells; others are passed over.
+/// Kinds of events; other events are ignored.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
     /// A gateway starts.
     GatewayStarted,
-    /// A gateway is killed.
+    /// A gateway was killed.
     GatewayKilled,
-    /// Discovery answered.
+    /// The discovery server answered.
     EndpointUpdate,
     /// A request arrived.
     RequestArrived,
-    /// The response of an attempt began.
+    /// The response to an attempt started.
     ResponseStarted,
     /// An attempt ended.
     AttemptEnded,
@@ -29,14 +29,15 @@
     TimerFired,
     /// A health check ended.
     HealthCheckEnded,
-    /// A message of another gateway came.
+    /// A message from another gateway arrived.
     PeerMessage,
     /// A load request ended.
     LoadRequestEnded,
 }
 
 impl EventKind {
-    /// The kind of an event by its name, None where it is none that the scheduler would hear of.
+    /// Returns the kind of the event with this name; `None` if the event does not concern the
+    /// scheduler.
     pub fn from_name(name: &str) -> Option<EventKind> {
         Some(match name {
             "UP" => EventKind::GatewayStarted,
@@ -55,37 +56,37 @@
     }
 }
 
-/// What an answer of discovery says.
+/// Content of a discovery server's answer.
 pub enum EndpointUpdate {
-    /// It failed.
+    /// The request failed.
     Failed,
-    /// It holds the whole endpoint list.
+    /// The answer holds the complete endpoint list.
     Complete,
-    /// It holds changes of some entries.
+    /// The answer holds changes of some entries.
     Incremental,
 }
 
-/// What a worker says of its load; 0 where it does not say.
+/// Load that a worker reports. A value that is not reported is 0.
 pub struct LoadReport {
     /// Requests in flight.
     pub in_flight: f64,
-    /// Part of its cores that is busy.
+    /// Share of its cores that is busy.
     pub busy: f64,
 }
 
 /// The end of an attempt.
 pub struct AttemptEnd<'a> {
-    /// Number of the attempt among those of its request.
+    /// Number of the attempt among the attempts of its request.
     pub attempt: usize,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took.
-    pub took: Time,
-    /// Whether the client has its response by it.
+    /// Duration of the attempt.
+    pub duration: Time,
+    /// Whether the client has its response because of this attempt.
     pub finished: bool,
-    /// What the worker says beside the outcome, as the scheduler packs it.
+    /// Additional information from the worker, in the scheduler's encoding.
     pub note: u32,
-    /// The worker's load report, where one came.
+    /// Load report of the worker, if there is one.
     pub report: Option<LoadReport>,
     /// Name of the worker.
     pub worker: &'a str,
@@ -93,9 +94,9 @@
 
 /// The end of a health check.
 pub struct HealthCheckEnd<'a> {
-    /// How it ended.
+    /// Outcome of the health check.
     pub outcome: Outcome,
-    /// The worker's load report, where one came.
+    /// Load report of the worker, if there is one.
     pub report: Option<LoadReport>,
     /// Name of the worker.
     pub worker: &'a str,
@@ -103,9 +104,9 @@
 
 /// The end of a load request.
 pub struct LoadRequestEnd<'a> {
-    /// How it ended.
+    /// Outcome of the load request.
     pub outcome: Outcome,
-    /// Instances that the worker has loaded now.
+    /// Number of instances that the worker has loaded after the request.
     pub instances: u32,
     /// Name of the worker.
     pub worker: &'a str,
@@ -113,11 +114,11 @@
     pub function: &'a str,
 }
 
-/// A message of another gateway.
+/// A message from another gateway.
 pub struct PeerMessage {
-    /// Index of the gateway that sent it.
+    /// Index of the gateway that sent the message.
     pub sender: u32,
-    /// Its bytes.
+    /// Content of the message.
     pub bytes: Vec<u8>,
 }
 
@@ -139,12 +140,12 @@
         self.text(GATEWAY)
     }
 
-    /// Seed of a starting gateway's random numbers.
+    /// Seed of a starting gateway's random number generator.
     pub fn seed(&self) -> Result<u64, FieldError> {
         self.parsed("entropy", None)
     }
 
-    /// Settings of a starting gateway: they stand beside its own two fields, without a name in front of them.
+    /// Settings of a starting gateway: all fields but its name and seed.
     pub fn settings(&self) -> Settings {
         self.pairs()
             .filter(|(key, _)| *key != GATEWAY && *key != "entropy")
@@ -167,17 +168,17 @@
         self.text("host")
     }
 
-    /// Number of the attempt among those of its request.
+    /// Number of the attempt among the attempts of its request.
     pub fn attempt(&self) -> Result<usize, FieldError> {
         self.parsed("shot", None)
     }
 
-    /// Token of a timer, as the scheduler gave it.
+    /// Token of a timer, as the scheduler assigned it.
     pub fn timer_token(&self) -> Result<u64, FieldError> {
         self.parsed("ctx", None)
     }
 
-    /// What an answer of discovery says; its entries are on the lines that follow.
+    /// Content of a discovery server's answer. Its entries are on the following lines.
     pub fn endpoint_update(&self) -> Result<EndpointUpdate, FieldError> {
         Ok(match self.text("scope")? {
             "broken" => EndpointUpdate::Failed,
@@ -187,7 +188,7 @@
         })
     }
 
-    /// An entry of an endpoint list.
+    /// Decodes an entry of an endpoint list.
     pub fn endpoint(&self, names: &ConfiguredNames) -> Result<Endpoint, FieldError> {
         let worker = self.worker_name()?;
         let state = match self.text("state")? {
@@ -207,7 +208,7 @@
         })
     }
 
-    /// A request; `function` is the index of its function's key.
+    /// Decodes a request. `function` is the index of its function.
     pub fn request(
         &self,
         names: &ConfiguredNames,
@@ -233,12 +234,12 @@
         })
     }
 
-    /// The end of an attempt.
+    /// Decodes the end of an attempt.
     pub fn attempt_end(&self) -> Result<AttemptEnd<'a>, FieldError> {
         Ok(AttemptEnd {
             attempt: self.attempt()?,
             outcome: self.outcome()?,
-            took: self.duration("lag-ms")?,
+            duration: self.duration("lag-ms")?,
             finished: self.flag("closed")?,
             note: self.parsed("note", Some(0))?,
             report: self.load_report()?,
@@ -246,10 +247,11 @@
         })
     }
 
-    /// The end of a health check.
+    /// Decodes the end of a health check.
     pub fn health_check_end(&self) -> Result<HealthCheckEnd<'a>, FieldError> {
         let (outcome, report) = (self.outcome()?, self.load_report()?);
-        // Nobody needs it, but a line whose duration is no number is refused like any other.
+        // The duration is not used, but a line with an invalid one is rejected like any other
+        // invalid line.
         self.duration("lag-ms")?;
         Ok(HealthCheckEnd {
             outcome,
@@ -258,10 +260,10 @@
         })
     }
 
-    /// The end of a load request.
+    /// Decodes the end of a load request.
     pub fn load_request_end(&self) -> Result<LoadRequestEnd<'a>, FieldError> {
         let (outcome, instances) = (self.outcome()?, self.parsed("count", Some(0))?);
-        // As with health checks.
+        // Validated but not used, as for health checks.
         self.duration("lag-ms")?;
         Ok(LoadRequestEnd {
             outcome,
@@ -271,7 +273,7 @@
         })
     }
 
-    /// A message of another gateway; a dash stands for one without bytes.
+    /// Decodes a message from another gateway. `-` stands for an empty message.
     pub fn peer_message(&self) -> Result<PeerMessage, FieldError> {
         let (sender, payload) = (self.parsed("sender", None)?, self.text("payload")?);
         let payload = if payload == "-" { "" } else { payload };
@@ -299,7 +301,8 @@
         })
     }
 
-    /// A load report; of a name that stands twice the first value counts. None where nothing is reported.
+    /// Decodes the load report; `None` if nothing is reported. If a name is repeated, its first
+    /// value is used.
     fn load_report(&self) -> Result<Option<LoadReport>, FieldError> {
         let (mut in_flight, mut busy, mut reported) = (None, None, false);
         let pairs = self.find("metrics").unwrap_or("").split(',');
--- a/crates/tidewall-bench-adapter/src/wire/fields.rs
+++ b/crates/tidewall-bench-adapter/src/wire/fields.rs
@@ -1,14 +1,14 @@
-//! Fields of one line, and values that several events have in common.
+//! The fields of one line, and parsers for value types that several events share.
 use crate::error::FieldError;
 use std::str::FromStr;
 use tidewall::interface::Time;
 
-/// The fields of one line; an error names the field.
+/// The fields of one line. Errors name the field.
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Splits what follows a line's name. Only the first equals sign of a part divides it, as a peer's payload may end
-    /// in some.
+    /// Parses the part of a line after its name. Only the first equals sign of a field separates
+    /// name and value, as base64 payloads may end in equals signs.
     pub fn parse(text: &'a str) -> Result<Fields<'a>, FieldError> {
         let mut pairs = Vec::new();
         for part in text.split(' ').filter(|part| !part.is_empty()) {
@@ -20,12 +20,12 @@
         Ok(Fields(pairs))
     }
 
-    /// All fields in their order.
+    /// Iterates over all fields in order.
     pub fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> + '_ {
         self.0.iter().copied()
     }
 
-    /// The value of a field, None where it is left out.
+    /// Returns the value of a field; `None` if it is missing.
     pub fn find(&self, field: &str) -> Option<&'a str> {
         self.0
             .iter()
@@ -33,14 +33,15 @@
             .map(|pair| pair.1)
     }
 
-    /// The value of a field that must be there and not empty.
+    /// Returns the value of a required field, which must not be empty.
     pub fn text(&self, field: &'static str) -> Result<&'a str, FieldError> {
         self.find(field)
             .filter(|value| !value.is_empty())
             .ok_or(FieldError::Missing { field })
     }
 
-    /// A value of some type; `default` is for a field that is left out, without one it must be there.
+    /// Parses a value. If the field is missing, returns `default`; without a default the field is
+    /// required.
     pub fn parsed<T: FromStr>(
         &self,
         field: &'static str,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// A finite number that is not negative and below 1e15, so that it fits into a time.
+    /// Parses a finite number from 0 to below 1e15, so that it fits into a [`Time`].
     pub fn number(&self, field: &'static str, default: Option<f64>) -> Result<f64, FieldError> {
         let value = self.parsed(field, default)?;
         if value.is_finite() && (0.0..1e15).contains(&value) {
@@ -65,18 +66,19 @@
         Err(FieldError::OutOfRange { field, value })
     }
 
-    /// A point in time, rounded down to tenths of a millisecond: a deadline never moves later.
+    /// Parses a point in time and rounds it down to tenths of a millisecond, so that a deadline is
+    /// never later than sent.
     pub fn time(&self, field: &'static str, default: Option<f64>) -> Result<Time, FieldError> {
         Ok((self.number(field, default)? * 10.0 + 1e-6).floor() as Time)
     }
 
-    /// A duration, rounded up to tenths of a millisecond: the clock and durations are never shorter than they were.
-    /// 0 where it is left out.
+    /// Parses a duration and rounds it up to tenths of a millisecond, so that the clock and
+    /// durations are never less than sent. A missing field is 0.
     pub fn duration(&self, field: &'static str) -> Result<Time, FieldError> {
         Ok((self.number(field, Some(0.0))? * 10.0 - 1e-6).ceil() as Time)
     }
 
-    /// A flag, clear where it is left out.
+    /// Parses a flag. A missing field is false.
     pub fn flag(&self, field: &'static str) -> Result<bool, FieldError> {
         match self.find(field) {
             None | Some("0") => Ok(false),
--- a/crates/tidewall-bench-adapter/src/wire/lines.rs
+++ b/crates/tidewall-bench-adapter/src/wire/lines.rs
@@ -1,25 +1,25 @@
-//! Lines that frame the events: batches, and entries of an endpoint list.
+//! Framing lines: starts and ends of batches, and entries of endpoint lists.
 use super::Fields;
 use crate::error::FieldError;
 use tidewall::interface::Time;
 
-/// The field with the number of entries that follow an endpoint update.
+/// Field with the number of entries that follow an endpoint update.
 pub const ENTRY_COUNT: &str = "members-list";
 
-/// What a line of the input is.
+/// Kind of an input line.
 pub enum Line<'a> {
-    /// A batch of events begins; its fields.
+    /// Start of a batch of events. Holds the text of its fields.
     BatchStart(&'a str),
-    /// The batch is over, and the commands are due.
+    /// End of a batch. Its commands are to be sent.
     BatchEnd,
-    /// Nothing.
+    /// An empty line.
     Empty,
-    /// Anything else: an event.
+    /// An event: any other line.
     Event,
 }
 
 impl<'a> Line<'a> {
-    /// Tells by its first word what a line is.
+    /// Determines the kind of a line from its start.
     pub fn classify(line: &'a str) -> Line<'a> {
         match line.strip_prefix("TURN") {
             Some(fields) => Line::BatchStart(fields),
@@ -30,14 +30,15 @@
     }
 }
 
-/// The time of a batch from its fields, in tenths of a millisecond.
+/// Parses the time of a batch from its fields, in tenths of a millisecond.
 pub fn batch_time(fields: &str) -> Result<Time, FieldError> {
     let fields = Fields::parse(fields)?;
     fields.text("wall-ms")?;
     fields.duration("wall-ms")
 }
 
-/// How many entries of an endpoint list follow this event; 0 after any other event.
+/// Returns the number of endpoint list entries that follow this event; 0 for any event but an
+/// endpoint update.
 pub fn entry_count(event: &str) -> Result<u32, FieldError> {
     match event.strip_prefix("VIEW ") {
         Some(fields) => Fields::parse(fields)?.parsed(ENTRY_COUNT, Some(0)),
@@ -50,12 +51,12 @@
     line.starts_with("M ")
 }
 
-/// The fields of an entry of an endpoint list.
+/// Parses the fields of an endpoint list entry.
 pub fn entry_fields(line: &str) -> Result<Fields<'_>, FieldError> {
     Fields::parse(line.strip_prefix('M').unwrap_or(line))
 }
 
-/// Divides an event into its name and the text of its fields.
+/// Splits an event into its name and the text of its fields.
 pub fn split_event(line: &str) -> (&str, &str) {
     line.split_once(' ').unwrap_or((line, ""))
 }
--- a/crates/tidewall-bench-adapter/src/wire/mod.rs
+++ b/crates/tidewall-bench-adapter/src/wire/mod.rs
@@ -1,7 +1,9 @@
-//! The simulator's wire: lines of text, a name and `name=value` fields. Its words stand here and nowhere else; the rest
-//! of the program knows them by the scheduler's terms.
+//! The simulator's line protocol: each line consists of a name and `name=value` fields. The
+//! protocol's own terms appear only in this module; the rest of the program uses the scheduler's
+//! terms.
 //!
-//! Times on the wire are decimal milliseconds; in the program they are whole tenths of a millisecond.
+//! Times on the wire are decimal milliseconds; in the program they are whole tenths of a
+//! millisecond.
 mod commands;
 mod events;
 mod fields;
@@ -12,7 +14,7 @@
 pub use fields::Fields;
 pub use lines::*;
 
-/// Field that names the gateway of an event or a command.
+/// Field with the name of the gateway that an event or command belongs to.
 pub const GATEWAY: &str = "gateway-id";
-/// Field that stands for a gateway's settings in messages.
+/// Name that stands for a gateway's settings in error messages.
 pub const SETTINGS: &str = "profile-data";
