--- a/crates/tidewall-platform-ingress/src/host_protocol.rs
+++ b/crates/tidewall-platform-ingress/src/host_protocol.rs
@@ -119,8 +119,8 @@
     fn write_error(&self, _out: &mut Vec<u8>, _reason: &str) {}
 }
 
-/// Reports an answer to the gateway. The load report comes first, as it is valid even if the rest
-/// of the answer is rejected.
+/// Reports an answer to the gateway. The load report comes first, as it is valid whatever the
+/// outcome of the call.
 fn deliver(answer: &HostAnswer, events: &mut dyn WorkerEvents) -> Result<(), ProtocolError> {
     if let Some(load) = answer.load {
         events.load_reported(load.requests_in_flight, load.busy_cores);
--- a/crates/tidewall-platform/src/client_command.rs
+++ b/crates/tidewall-platform/src/client_command.rs
@@ -48,7 +48,7 @@
     pub lanes: f64,
     /// Expected time to load an instance; 0 if unknown.
     pub load_hint_ms: f64,
-    /// Whether the client marks this request as a retry.
+    /// Whether the client has sent this request before.
     pub is_retry: bool,
     /// Input of the function, at most [`MAX_PAYLOAD`] bytes.
     pub payload: &'a [u8],
--- a/crates/tidewall-platform/src/resp.rs
+++ b/crates/tidewall-platform/src/resp.rs
@@ -1,6 +1,7 @@
 //! The part of RESP (Redis serialization protocol) that the platform's clients use: arrays of bulk
-//! strings, and simple errors. Existing RESP crates buffer a whole bulk string before its length
-//! can be checked; this decoder checks a length as soon as its header is complete.
+//! strings, and simple errors. A RESP parser from the crate registry is not used, because it would
+//! buffer a whole bulk string before its length can be checked; this decoder checks a length as
+//! soon as its header is complete.
 use std::fmt;
 use std::io::Write;
 use thiserror::Error;
