--- a/crates/tidewall-net/benches/wheel.rs
+++ b/crates/tidewall-net/benches/wheel.rs
@@ -1,5 +1,6 @@
-//! The timer wheel against a binary heap (with lazy cancellation) and a sorted map: each iteration cancels one timer,
-//! inserts one, advances by a tenth of a millisecond and reinserts what has expired, at a constant number of timers.
+//! Compares the timer wheel with a binary heap (with lazy cancellation) and a sorted map. Each iteration
+//! cancels one timer, inserts one, advances by a tenth of a millisecond and reinserts the expired timers, so
+//! that the number of timers is constant.
 #![allow(clippy::unwrap_used, missing_docs)]
 use criterion::{criterion_group, criterion_main, Bencher, BenchmarkId, Criterion};
 use rand::{Rng, SeedableRng};
@@ -9,7 +10,7 @@
 use std::hint::black_box;
 use tidewall_net::wheel::Wheel;
 
-/// Four seconds: the deadline of a request is the usual timer.
+/// Expiries lie within four seconds, as most timers are deadlines of requests.
 const SPAN: u64 = 40_000;
 
 fn wheel(b: &mut Bencher, size: u64) {
@@ -46,7 +47,7 @@
         heap.push(Reverse((now + rng.random_range(1..SPAN), id, index as u64)));
         pending[index] = id;
         id += 1;
-        while heap.peek().is_some_and(|d| d.0 .0 <= now) {
+        while heap.peek().is_some_and(|entry| entry.0 .0 <= now) {
             let Reverse((_, entry_id, i)) = heap.pop().unwrap();
             if !cancelled.remove(&entry_id) {
                 heap.push(Reverse((now + rng.random_range(1..SPAN), id, i)));
@@ -54,7 +55,7 @@
                 id += 1;
             }
         }
-        black_box(heap.peek().map(|d| d.0 .0))
+        black_box(heap.peek().map(|entry| entry.0 .0))
     });
 }
 
@@ -74,13 +75,16 @@
         pending[index] = (now + rng.random_range(1..SPAN), id);
         tree.insert(pending[index], index as u64);
         id += 1;
-        while tree.first_key_value().is_some_and(|d| d.0 .0 <= now) {
+        while tree
+            .first_key_value()
+            .is_some_and(|entry| entry.0 .0 <= now)
+        {
             let (_, i) = tree.pop_first().unwrap();
             pending[i as usize] = (now + rng.random_range(1..SPAN), id);
             tree.insert(pending[i as usize], i);
             id += 1;
         }
-        black_box(tree.first_key_value().map(|d| d.0 .0))
+        black_box(tree.first_key_value().map(|entry| entry.0 .0))
     });
 }
 
--- a/crates/tidewall-net/src/buffer.rs
+++ b/crates/tidewall-net/src/buffer.rs
@@ -1,23 +1,26 @@
-//! Byte queues of a connection: contiguous, and without moving what is queued at each read.
+//! Contiguous byte queues for a connection's input and output. Consuming bytes does not move the remaining
+//! ones.
 //!
 //! The limits are enforced by the [`Net`](crate::Net) implementations, not by [`Buffer`] itself.
 
-/// Limit of received bytes that an app has not consumed, in bytes for each connection: twice the largest frame of
+/// Limit of received bytes that an app has not consumed, in bytes per connection: twice the largest frame of
 /// the native protocol, so that a complete frame and the start of the next one always fit.
 pub const READ_BUFFER_LIMIT: usize = 2 << 20;
 
-/// Limit of bytes that wait to be sent, in bytes for each connection. At 950 requests a second of 300 bytes each this
-/// is seven seconds of a peer that reads nothing; longer than any usual deadline of a request.
+/// Limit of bytes that wait to be sent, in bytes per connection. At 950 requests per second of 300 bytes
+/// each, a peer that reads nothing fills it in seven seconds, which is longer than any usual deadline of a
+/// request.
 pub const WRITE_BUFFER_LIMIT: usize = 2 << 20;
 
-/// Capacity in bytes that an empty buffer keeps: one that grew for a burst gives the rest back to the allocator.
+/// Capacity in bytes that an empty buffer retains. A buffer that grew beyond it in a burst returns the rest
+/// to the allocator when it is empty again.
 const RETAINED_CAPACITY: usize = 64 << 10;
 
-/// A queue of bytes that is filled at its end and consumed from its start.
+/// A FIFO queue of bytes: appended to at its end and consumed from its start.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    /// Index in `bytes` of the first byte that is not consumed.
+    /// Index in `bytes` of the first byte that has not been consumed.
     start: usize,
 }
 
@@ -39,7 +42,8 @@
 
     /// Appends bytes at the end.
     pub fn push(&mut self, bytes: &[u8]) {
-        // The consumed part is dropped once it is longer than what is queued: each byte moves at most once.
+        // The consumed part is removed only once it is longer than the queued part, so that in all fewer
+        // bytes are moved than were consumed.
         if self.start > self.len() {
             self.bytes.drain(..self.start);
             self.start = 0;
--- a/crates/tidewall-net/src/memory/delivery.rs
+++ b/crates/tidewall-net/src/memory/delivery.rs
@@ -1,4 +1,5 @@
-//! Delivery: what an event does to its endpoint, listener or socket, and which method of the app it calls.
+//! Delivery of events: how an event changes its endpoint, listener or socket, and which method of the app it
+//! calls.
 use super::event::Event;
 use super::path::Route;
 use super::scheduler::{enter_step, Apps};
@@ -9,61 +10,64 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A listener without file descriptors looks at its backlog again after this (100 ms), as the one on the operating
-/// system's network does.
+/// How long (100 ms) a node without free file descriptors waits before it tries to accept again: the same as
+/// the listener on operating-system sockets.
 const ACCEPT_PAUSE: Time = 1_000;
 
-/// Delivers an event to its node: drops it where the node is dead, and keeps it where the node is stalled.
-pub(super) fn deliver(world: &Rc<RefCell<World>>, apps: Apps, event: Event) {
-    let mut w = world.borrow_mut();
-    let node = w.receiving_node(&event);
+/// Delivers an event to its node. The event is dropped where the node is dead, and kept for later where it is
+/// stalled.
+pub(super) fn deliver(shared_world: &Rc<RefCell<World>>, apps: Apps, event: Event) {
+    let mut world = shared_world.borrow_mut();
+    let node = world.receiving_node(&event);
     if let Some(node) = node {
-        let state = &mut w.nodes[node];
+        let state = &mut world.nodes[node];
         if state.dead {
             return;
         }
-        // The system's connect timeout goes on where the process is stalled; the rest waits.
+        // Connect timeouts take effect even while the process is stalled; all other events wait for its end.
         if state.stalled_since.is_some() && !matches!(event, Event::ConnectTimeout { .. }) {
             state.backlog.push_back(event);
             return;
         }
         state.awake = true;
-        enter_step(w.now, node);
+        enter_step(world.now, node);
     }
-    w.digest_event(&event);
-    drop(w);
+    world.digest_event(&event);
+    drop(world);
     match event {
-        Event::ConnectRequest { conn, to } => accept(world, apps, conn, to),
-        Event::Datagram { to, from, bytes } => receive_datagram(world, apps, to, from, &bytes),
+        Event::ConnectRequest { conn, to } => accept(shared_world, apps, conn, to),
+        Event::Datagram { to, from, bytes } => {
+            receive_datagram(shared_world, apps, to, from, &bytes)
+        }
         Event::Established { conn } => {
             let Some(node) = node else { return };
-            if let Some(endpoint) = world.borrow_mut().endpoint(conn) {
+            if let Some(endpoint) = shared_world.borrow_mut().endpoint(conn) {
                 endpoint.established = true;
             }
             apps[node].connected(conn);
-            world.borrow_mut().send_buffered(conn);
+            shared_world.borrow_mut().send_buffered(conn);
         }
         Event::ConnectTimeout { conn } => {
             let Some(node) = node else { return };
-            time_out(world, apps, node, conn);
+            time_out_connect(shared_world, apps, node, conn);
         }
         Event::Data { conn, bytes } => {
             let Some(node) = node else { return };
-            if let Some(endpoint) = world.borrow_mut().endpoint(conn) {
+            if let Some(endpoint) = shared_world.borrow_mut().endpoint(conn) {
                 endpoint.in_flight -= bytes.len();
                 endpoint.receive_queue.push(&bytes);
             }
-            receive_segment(world, apps, node, conn);
+            receive_segment(shared_world, apps, node, conn);
         }
         Event::Closed { conn, reason } => {
             let Some(node) = node else { return };
-            end_connection(world, apps, node, conn, reason);
+            end_connection(shared_world, apps, node, conn, reason);
         }
     }
 }
 
 impl World {
-    /// The node that an event is for, if it still exists there.
+    /// The node that an event is for; `None` where its socket or endpoint no longer exists.
     fn receiving_node(&self, event: &Event) -> Option<usize> {
         match event {
             Event::ConnectRequest { to, .. } => self.listening_node(*to),
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Adds an event to the digest of the run.
+    /// Adds an event to the digest of everything that was delivered.
     fn digest_event(&mut self, event: &Event) {
         self.digest.write_u64(self.now);
         match event {
@@ -92,145 +96,149 @@
     }
 }
 
-/// Accepts a connection at the listener of an address, or refuses it where nobody listens.
-fn accept(world: &Rc<RefCell<World>>, apps: Apps, client: Conn, to: SocketAddr) {
-    let mut w = world.borrow_mut();
-    let mut listeners = w.listeners.iter();
+/// Accepts a connection at the listener of an address, or refuses it where no node listens there.
+fn accept(shared_world: &Rc<RefCell<World>>, apps: Apps, client: Conn, to: SocketAddr) {
+    let mut world = shared_world.borrow_mut();
+    let mut listeners = world.listeners.iter();
     let index = listeners.position(|l| l.is_some_and(|l| l.address == to));
-    let listener = index.and_then(|index| Some((index, w.listeners[index]?.node)));
+    let listener = index.and_then(|index| Some((index, world.listeners[index]?.node)));
     let Some((index, node)) = listener else {
-        let (delay, reason) = (w.delay, CloseReason::Refused);
+        let (delay, reason) = (world.delay, CloseReason::Refused);
         let conn = client;
-        return w.schedule(delay, Event::Closed { conn, reason });
+        return world.schedule(delay, Event::Closed { conn, reason });
     };
-    if w.nodes[node].out_of_descriptors {
+    if world.nodes[node].out_of_descriptors {
         let request = Event::ConnectRequest { conn: client, to };
-        return w.schedule(ACCEPT_PAUSE, request);
+        return world.schedule(ACCEPT_PAUSE, request);
     }
-    let Some(endpoint) = w.endpoint(client) else {
+    let Some(endpoint) = world.endpoint(client) else {
         return;
     };
     let (from, client_node) = (endpoint.remote_address, endpoint.node);
-    let conn = w.add_endpoint(node, from, Some(client));
-    if let Some(accepted) = w.endpoint(conn) {
+    let conn = world.add_endpoint(node, from, Some(client));
+    if let Some(accepted) = world.endpoint(conn) {
         accepted.local_address = Some(to);
     }
-    if let Some(endpoint) = w.endpoint(client) {
+    if let Some(endpoint) = world.endpoint(client) {
         endpoint.peer = Some(conn);
     }
     let route = Route {
         from: node,
         to: client_node,
     };
-    w.transmit(route, Event::Established { conn: client });
-    drop(w);
+    world.transmit(route, Event::Established { conn: client });
+    drop(world);
     apps[node].accepted(Listener(index), conn, from);
 }
 
-/// Ends an attempt to connect that is not established yet.
-fn time_out(world: &Rc<RefCell<World>>, apps: Apps, node: usize, conn: Conn) {
-    let mut w = world.borrow_mut();
-    if w.endpoint(conn).is_none_or(|e| e.established) {
+/// Handles an expired connect timeout: closes the connection unless it has been established.
+fn time_out_connect(shared_world: &Rc<RefCell<World>>, apps: Apps, node: usize, conn: Conn) {
+    let mut world = shared_world.borrow_mut();
+    if world.endpoint(conn).is_none_or(|e| e.established) {
         return;
     }
-    w.remove_endpoint(conn, CloseReason::Ended);
-    drop(w);
+    world.remove_endpoint(conn, CloseReason::Ended);
+    drop(world);
     apps[node].closed(conn, CloseReason::TimedOut);
 }
 
 /// Removes an endpoint whose connection has ended.
 fn end_connection(
-    world: &Rc<RefCell<World>>,
+    shared_world: &Rc<RefCell<World>>,
     apps: Apps,
     node: usize,
     conn: Conn,
     reason: CloseReason,
 ) {
     if reason == CloseReason::Ended {
-        // What was sent before the end is read first.
-        while receive_segment(world, apps, node, conn) {}
+        // Bytes that were sent before the end of the stream are read first.
+        while receive_segment(shared_world, apps, node, conn) {}
     }
-    let mut w = world.borrow_mut();
-    if w.endpoint(conn).is_none() {
+    let mut world = shared_world.borrow_mut();
+    if world.endpoint(conn).is_none() {
         return;
     }
-    w.endpoints.remove(conn.index());
-    drop(w);
+    world.endpoints.remove(conn.index());
+    drop(world);
     apps[node].closed(conn, reason);
 }
 
 fn receive_datagram(
-    world: &Rc<RefCell<World>>,
+    shared_world: &Rc<RefCell<World>>,
     apps: Apps,
     to: SocketAddr,
     from: SocketAddr,
     bytes: &[u8],
 ) {
-    let w = world.borrow();
-    let mut sockets = w.datagram_sockets.iter();
+    let world = shared_world.borrow();
+    let mut sockets = world.datagram_sockets.iter();
     let index = sockets.position(|s| s.is_some_and(|s| s.address == to));
-    let socket = index.and_then(|index| Some((index, w.datagram_sockets[index]?.node)));
-    drop(w);
+    let socket = index.and_then(|index| Some((index, world.datagram_sockets[index]?.node)));
+    drop(world);
     if let Some((index, node)) = socket {
         apps[node].datagram_received(DatagramSocket(index), from, bytes);
     }
 }
 
-/// Passes one segment of what has arrived to the app. True where more has arrived.
-fn receive_segment(world: &Rc<RefCell<World>>, apps: Apps, node: usize, conn: Conn) -> bool {
-    let mut w = world.borrow_mut();
-    let limit = if w.piece == 0 { usize::MAX } else { w.piece };
-    let readable = w
+/// Passes one segment of the receive queue to the app. Returns true where the queue holds more.
+fn receive_segment(shared_world: &Rc<RefCell<World>>, apps: Apps, node: usize, conn: Conn) -> bool {
+    let mut world = shared_world.borrow_mut();
+    let max_segment_size = if world.piece == 0 {
+        usize::MAX
+    } else {
+        world.piece
+    };
+    let readable = world
         .endpoint(conn)
         .filter(|e| !e.read_paused && !e.closing && !e.receive_queue.is_empty());
     let Some(endpoint) = readable else {
         return false;
     };
-    let len = endpoint.receive_queue.len().min(limit);
+    let len = endpoint.receive_queue.len().min(max_segment_size);
     let segment = endpoint.receive_queue.data()[..len].to_vec();
     endpoint.receive_queue.consume(len);
     endpoint.read_buffer.push(&segment);
-    let more = !endpoint.receive_queue.is_empty();
+    let has_more = !endpoint.receive_queue.is_empty();
     let mut buffer = std::mem::take(&mut endpoint.read_buffer);
     let peer = endpoint.peer;
-    drop(w);
+    drop(world);
     let consumed = apps[node].received(conn, buffer.data());
     buffer.consume(consumed);
-    let mut w = world.borrow_mut();
-    let mut full = false;
-    if let Some(endpoint) = w.endpoint(conn) {
-        full = buffer.len() >= endpoint.read_limit;
+    let mut world = shared_world.borrow_mut();
+    let mut read_buffer_full = false;
+    if let Some(endpoint) = world.endpoint(conn) {
+        read_buffer_full = buffer.len() >= endpoint.read_limit;
         endpoint.read_buffer = buffer;
     }
-    if more {
+    if has_more {
         let bytes = Vec::new();
-        w.schedule(0, Event::Data { conn, bytes });
+        world.schedule(0, Event::Data { conn, bytes });
     }
-    if full {
+    if read_buffer_full {
         let reason = CloseReason::Reset;
-        w.schedule(0, Event::Closed { conn, reason });
+        world.schedule(0, Event::Closed { conn, reason });
     }
-    drop(w);
+    drop(world);
     if let Some(peer) = peer {
-        resume_sending(world, apps, peer);
+        resume_sending(shared_world, apps, peer);
     }
-    more
+    has_more
 }
 
-/// The receive window of an endpoint's peer has grown: sends what waits, and then ends a graceful close or notifies the
-/// app that it may write.
-fn resume_sending(world: &Rc<RefCell<World>>, apps: Apps, conn: Conn) {
-    let mut w = world.borrow_mut();
-    w.send_buffered(conn);
-    let Some(endpoint) = w.endpoint(conn).filter(|e| e.write_buffer.is_empty()) else {
+/// Called when the receive window of an endpoint's peer has grown: sends buffered bytes, and once all are
+/// sent, completes a graceful close or notifies the app that it may write.
+fn resume_sending(shared_world: &Rc<RefCell<World>>, apps: Apps, conn: Conn) {
+    let mut world = shared_world.borrow_mut();
+    world.send_buffered(conn);
+    let Some(endpoint) = world.endpoint(conn).filter(|e| e.write_buffer.is_empty()) else {
         return;
     };
     let writable_pending = std::mem::take(&mut endpoint.writable_pending);
     let (closing, node) = (endpoint.closing, endpoint.node);
     if closing {
-        w.remove_endpoint(conn, CloseReason::Ended);
-    } else if writable_pending && !w.nodes[node].dead {
-        drop(w);
+        world.remove_endpoint(conn, CloseReason::Ended);
+    } else if writable_pending && !world.nodes[node].dead {
+        drop(world);
         apps[node].writable(conn);
     }
 }
--- a/crates/tidewall-net/src/memory/endpoint.rs
+++ b/crates/tidewall-net/src/memory/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the two sides of each simulated connection.
+//! Endpoints: each simulated connection has one at either side.
 use super::event::Event;
 use super::path::Route;
 use super::World;
@@ -12,23 +12,24 @@
     pub(super) generation: u32,
     /// The peer's address.
     pub(super) remote_address: SocketAddr,
-    /// The other side, once accepted.
+    /// The endpoint at the other side, once the connection is accepted.
     pub(super) peer: Option<Conn>,
     pub(super) established: bool,
-    /// Has arrived and was not read yet, as in a socket's receive queue.
+    /// Bytes that have arrived and were not read yet, like a socket's receive queue.
     pub(super) receive_queue: Buffer,
-    /// Was passed to the app, which has not consumed it.
+    /// Bytes that were passed to the app, which has not consumed them.
     pub(super) read_buffer: Buffer,
-    /// Bytes on their way here.
+    /// Number of bytes on their way to this endpoint.
     pub(super) in_flight: usize,
-    /// When the last event on its way here arrives: a stream keeps its order.
+    /// When the last event on its way to this endpoint arrives. Later ones must not overtake it: a stream
+    /// keeps its order.
     pub(super) last_arrival: Time,
-    /// Was accepted from the app and is not yet on its way.
+    /// Bytes that were accepted from the app and have not been sent yet.
     pub(super) write_buffer: Buffer,
-    /// The listener's address, on the accepting side.
+    /// The listener's address; set on the accepting side only.
     pub(super) local_address: Option<SocketAddr>,
     pub(super) read_paused: bool,
-    /// The most bytes that `read_buffer` may hold.
+    /// Limit of bytes in `read_buffer`; the connection is reset when the app leaves that many.
     pub(super) read_limit: usize,
     /// A write was not accepted in full: `App::writable` must follow.
     pub(super) writable_pending: bool,
@@ -36,21 +37,21 @@
 }
 
 impl Endpoint {
-    /// How many bytes may be sent here before the receive queue is full.
+    /// How many bytes the peer may still send before the receive queue is full.
     pub(super) fn receive_window(&self) -> usize {
         READ_BUFFER_LIMIT.saturating_sub(self.receive_queue.len() + self.in_flight)
     }
 }
 
 impl World {
-    /// The endpoint, unless it is gone.
+    /// The endpoint, or `None` where it was removed.
     pub(super) fn endpoint(&mut self, conn: Conn) -> Option<&mut Endpoint> {
         self.endpoints
             .get_mut(conn.index())
             .filter(|e| e.generation == conn.generation())
     }
 
-    /// The node of an endpoint, unless it is gone.
+    /// The node of an endpoint, or `None` where the endpoint was removed.
     pub(super) fn node_of(&self, conn: Conn) -> Option<usize> {
         self.endpoints
             .get(conn.index())
@@ -58,7 +59,7 @@
             .map(|e| e.node)
     }
 
-    /// Adds an endpoint: an accepted one with its peer, or one that begins to connect.
+    /// Adds an endpoint: an accepted one with its peer, or, without a peer, one that begins to connect.
     pub(super) fn add_endpoint(
         &mut self,
         node: usize,
@@ -86,7 +87,7 @@
         Conn::new(index, self.last_generation)
     }
 
-    /// Removes an endpoint; its peer is notified by way of their path.
+    /// Removes an endpoint, and notifies its peer over the path between their nodes.
     pub(super) fn remove_endpoint(&mut self, conn: Conn, reason: CloseReason) {
         if self.endpoint(conn).is_some() {
             let endpoint = self.endpoints.remove(conn.index());
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Notifies an endpoint that its connection, whose other side is at node `from`, has ended.
+    /// Notifies an endpoint that its connection, whose other side is on node `from`, has ended.
     pub(super) fn notify_closed(&mut self, from: usize, conn: Conn, reason: CloseReason) {
         if let Some(to) = self.node_of(conn) {
             self.transmit(Route { from, to }, Event::Closed { conn, reason });
         }
     }
 
-    /// Sends from the write buffer, as far as the peer's receive window allows.
+    /// Sends from the write buffer as much as the peer's receive window allows.
     pub(super) fn send_buffered(&mut self, conn: Conn) {
         let Some(endpoint) = self.endpoint(conn) else {
             return;
@@ -128,8 +129,9 @@
         }
     }
 
-    /// An address moves to another node: its former owner no longer listens there, and what either side of a connection
-    /// that it accepted there sends from now on would be answered by a reset, so both sides are reset.
+    /// Moves an address to another node. The former owner no longer listens there. Both sides of the
+    /// connections that it accepted there are reset, because whatever either side sent later would be
+    /// answered by a reset.
     pub(super) fn move_address(&mut self, new_owner: usize, address: SocketAddr) {
         for listener in &mut self.listeners {
             if listener.is_some_and(|l| l.address == address && l.node != new_owner) {
--- a/crates/tidewall-net/src/memory/handle.rs
+++ b/crates/tidewall-net/src/memory/handle.rs
@@ -1,4 +1,4 @@
-//! A node's handle on the world: its [`Net`], and the faults that tests inject into it.
+//! A node's handle on the [`World`]: its [`Net`], and the faults that tests inject into it.
 use super::event::Event;
 use super::node::{Node, Stall};
 use super::path::Route;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// One node's handle on the [`World`]. Clones stand for the same node.
+/// One node's handle on the [`World`]. A clone is a handle on the same node.
 #[derive(Clone)]
 pub struct Memory {
     pub(super) world: Rc<RefCell<World>>,
@@ -18,7 +18,7 @@
 }
 
 impl Memory {
-    /// Adds a node to the world; its number is that of the nodes which joined before.
+    /// Adds a node to the world. Nodes are numbered from 0 in the order in which they join.
     pub fn join(world: &Rc<RefCell<World>>) -> Memory {
         let mut w = world.borrow_mut();
         w.nodes.push(Node::default());
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Kills the process: its sockets are closed, its connections reset, and no event is delivered to it.
+    /// Kills the node's process: its sockets are closed, its connections are reset, and no event is delivered
+    /// to it.
     pub fn kill(&self) {
         let mut world = self.world.borrow_mut();
         let world = &mut *world;
@@ -57,7 +58,8 @@
         self.world.borrow().nodes[self.node].dead
     }
 
-    /// Starts a new process in place of a dead one, with nothing of its state but the rate of the machine's clock.
+    /// Starts a new process in place of a dead one. It keeps nothing of the old state but the clock rate,
+    /// which belongs to the machine.
     pub fn restart(&self) {
         let mut world = self.world.borrow_mut();
         let node = &mut world.nodes[self.node];
@@ -67,23 +69,24 @@
         };
     }
 
-    /// Makes the node's clock run faster than the world's by so many millionths.
+    /// Makes the node's clock run faster than the world's by this many parts per million; slower where
+    /// negative.
     pub fn clock(&self, skew_ppm: i64) {
         self.world.borrow_mut().nodes[self.node].skew_ppm = skew_ppm;
     }
 
-    /// Takes all file descriptors from the process, or gives them back.
-    pub fn bare(&self, on: bool) {
-        self.world.borrow_mut().nodes[self.node].out_of_descriptors = on;
+    /// Simulates a process without free file descriptors, or ends that fault.
+    pub fn bare(&self, exhausted: bool) {
+        self.world.borrow_mut().nodes[self.node].out_of_descriptors = exhausted;
     }
 
-    /// Stalls the process, or ends the stall: what happened meanwhile is then delivered all at once.
-    pub fn still(&self, on: bool) {
+    /// Stalls the process, or ends the stall: all events that happened meanwhile are then delivered at once.
+    pub fn still(&self, stalled: bool) {
         let mut world = self.world.borrow_mut();
         let now = world.now;
         let node = &mut world.nodes[self.node];
-        if on {
-            // A stall that has begun already goes on.
+        if stalled {
+            // The start of a stall that is already in progress is kept.
             node.stalled_since.get_or_insert(now);
         } else if let Some(since) = node.stalled_since.take() {
             let duration = now - since;
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Resets a connection of this node, for both sides.
+    /// Resets a connection of this node; both sides are notified.
     pub fn cut(&self, conn: Conn) {
         let mut world = self.world.borrow_mut();
         let reason = CloseReason::Reset;
@@ -135,9 +138,9 @@
         0
     }
 
-    fn listen(&mut self, at: SocketAddr) -> io::Result<(Listener, SocketAddr)> {
+    fn listen(&mut self, requested: SocketAddr) -> io::Result<(Listener, SocketAddr)> {
         let mut world = self.world.borrow_mut();
-        let address = world.choose_port(at);
+        let address = world.choose_port(requested);
         if world.moves.contains(&address) {
             world.move_address(self.node, address);
         }
@@ -153,7 +156,7 @@
         self.world.borrow_mut().listeners[listener.0] = None;
     }
 
-    fn connect(&mut self, to: SocketAddr, within: Time) -> Conn {
+    fn connect(&mut self, to: SocketAddr, timeout: Time) -> Conn {
         let mut world = self.world.borrow_mut();
         let from = self.node;
         let conn = world.add_endpoint(from, to, None);
@@ -170,7 +173,7 @@
                 world.schedule(delay, request);
             }
         }
-        world.schedule(within, Event::ConnectTimeout { conn });
+        world.schedule(timeout, Event::ConnectTimeout { conn });
         conn
     }
 
@@ -224,12 +227,12 @@
         }
     }
 
-    fn set_read_paused(&mut self, conn: Conn, on: bool) {
+    fn set_read_paused(&mut self, conn: Conn, paused: bool) {
         let mut world = self.world.borrow_mut();
         let Some(endpoint) = world.endpoint(conn) else {
             return;
         };
-        endpoint.read_paused = on;
+        endpoint.read_paused = paused;
         let bytes = Vec::new();
         world.schedule(0, Event::Data { conn, bytes });
     }
@@ -254,9 +257,9 @@
         self.cut(conn);
     }
 
-    fn bind_datagram(&mut self, at: SocketAddr) -> io::Result<(DatagramSocket, SocketAddr)> {
+    fn bind_datagram(&mut self, requested: SocketAddr) -> io::Result<(DatagramSocket, SocketAddr)> {
         let mut world = self.world.borrow_mut();
-        let address = world.choose_port(at);
+        let address = world.choose_port(requested);
         if world.datagram_node(address).is_some() {
             return Err(io::ErrorKind::AddrInUse.into());
         }
@@ -287,12 +290,12 @@
         world.transmit(route, datagram);
     }
 
-    fn set_timer(&mut self, at: Time, token: u64) -> TimerId {
+    fn set_timer(&mut self, expires_at: Time, token: u64) -> TimerId {
         let mut world = self.world.borrow_mut();
         let now = world.now;
         let node = &mut world.nodes[self.node];
-        let at = at.max(node.local_time(now));
-        node.timers.insert(at, token)
+        let expires_at = expires_at.max(node.local_time(now));
+        node.timers.insert(expires_at, token)
     }
 
     fn cancel_timer(&mut self, timer: TimerId) {
--- a/crates/tidewall-net/src/memory/mod.rs
+++ b/crates/tidewall-net/src/memory/mod.rs
@@ -1,19 +1,20 @@
-//! [`Net`](crate::Net) on a simulated network: nodes under one virtual clock. Events are ordered by time and then by
-//! the order of their causes, so a run with the same seed is the same every time.
+//! [`Net`](crate::Net) on a simulated network: all nodes run on one virtual clock. Events are ordered by
+//! time, and at the same time by the order in which they were scheduled, so that runs with the same seed are
+//! identical.
 //!
-//! Streams may be delivered in segments of any size; nodes can stall, die and restart, and have clocks of their own
-//! rate. Messages from one node to another go by a [`Path`], which may be slow, lossy or partitioned, each direction
-//! for itself.
+//! Streams may be delivered in segments of any size. Nodes can stall, die and restart, and their clocks may
+//! run at different rates. Messages from one node to another follow a [`Path`], which may be slow, lossy or
+//! partitioned; each direction has its own.
 //!
-//! | Module | Concern |
+//! | Module | Contents |
 //! |---|---|
-//! | `world` | the network's state and the schedule of events |
-//! | `event` | what can be scheduled |
-//! | `path` | latency, loss, duplication, partition, taps |
-//! | `node`, `endpoint` | state of a process, and of one side of a connection |
-//! | `handle` | a node's `Net`, and faults of nodes |
-//! | `scheduler` | which event or timer is next |
-//! | `delivery` | what an event does |
+//! | `world` | the network's state and its scheduled events |
+//! | `event` | the kinds of events |
+//! | `path` | latency, loss, duplication, partitions, taps |
+//! | `node`, `endpoint` | the state of a process, and of one side of a connection |
+//! | `handle` | a node's `Net`, and fault injection |
+//! | `scheduler` | selection of the next event or timer |
+//! | `delivery` | the effects of events |
 mod delivery;
 mod endpoint;
 mod event;
--- a/crates/tidewall-net/src/memory/node.rs
+++ b/crates/tidewall-net/src/memory/node.rs
@@ -1,4 +1,4 @@
-//! Nodes: one process's timers, clock and state.
+//! Nodes: the timers, the clock and the state of a process.
 use super::event::Event;
 use crate::wheel::Wheel;
 use crate::Time;
@@ -7,21 +7,22 @@
 /// One simulated process.
 #[derive(Default)]
 pub(super) struct Node {
-    /// Its timers, by its own clock.
+    /// The app's timers, in times of the node's own clock.
     pub(super) timers: Wheel,
     pub(super) dead: bool,
-    /// Since when it is stalled.
+    /// The world's time at which the current stall began; `None` where the node is not stalled.
     pub(super) stalled_since: Option<Time>,
     pub(super) total_stall: Time,
-    /// The end and the duration of its last stall.
+    /// The last stall that has ended.
     pub(super) last_stall: Stall,
-    /// What happened during the stall, to be delivered after it.
+    /// Events of the current stall, which are delivered after it.
     pub(super) backlog: VecDeque<Event>,
-    /// Its clock runs faster by so many millionths.
+    /// By how many parts per million the node's clock runs faster than the world's.
     pub(super) skew_ppm: i64,
-    /// Its app was called in this wake-up, whose end is still to be reported.
+    /// The app was called in the current wake-up, and `App::wakeup_ended` must still follow.
     pub(super) awake: bool,
-    /// No file descriptor is left: attempts to connect fail, and none is accepted until there are descriptors again.
+    /// No file descriptor is free: outgoing connections fail, and incoming ones are not accepted until some
+    /// are free.
     pub(super) out_of_descriptors: bool,
 }
 
@@ -33,17 +34,17 @@
 }
 
 impl Node {
-    /// Whether it handles events.
+    /// Whether the node handles events: it is neither dead nor stalled.
     pub(super) fn is_running(&self) -> bool {
         !self.dead && self.stalled_since.is_none()
     }
 
-    /// What its clock shows at a time of the world.
+    /// The time of the node's clock at a time of the world.
     pub(super) fn local_time(&self, at: Time) -> Time {
         (at as i128 + at as i128 * self.skew_ppm as i128 / 1_000_000) as Time
     }
 
-    /// The first time of the world at which its clock shows `local`.
+    /// The first time of the world at which the node's clock has reached `local`.
     pub(super) fn world_time(&self, local: Time) -> Time {
         if self.skew_ppm == 0 {
             return local;
@@ -55,7 +56,7 @@
         at
     }
 
-    /// When its next timer expires, as a time of the world.
+    /// A lower bound of the node's next timer expiry, as a time of the world.
     pub(super) fn next_expiry(&self) -> Option<Time> {
         Some(self.world_time(self.timers.next_expiry()?))
     }
--- a/crates/tidewall-net/src/memory/path.rs
+++ b/crates/tidewall-net/src/memory/path.rs
@@ -1,48 +1,52 @@
-//! Paths: what happens to messages between two nodes, and taps that change single ones.
+//! Paths, which delay, lose or duplicate the messages between two nodes, and taps, which modify single
+//! messages.
 use super::event::Event;
 use super::World;
 use crate::{CloseReason, Time};
 use rand::Rng;
 
-/// What happens to messages from one node to another. Streams lose nothing for good: what is lost or cut arrives later.
+/// What happens to messages from one node to another. Streams are reliable: their lost or blocked messages
+/// arrive later.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Path {
     /// Latency, in tenths of a millisecond.
     pub delay: Time,
-    /// Greatest random addition to the latency, in tenths of a millisecond; datagrams may so be reordered.
+    /// Maximum random addition to the latency, in tenths of a millisecond. It may reorder datagrams.
     pub jitter: Time,
-    /// Messages lost of a thousand.
+    /// How many of a thousand messages are lost.
     pub lost: u32,
-    /// Datagrams duplicated of a thousand.
+    /// How many of a thousand datagrams are duplicated.
     pub twice: u32,
-    /// A partition: datagrams are lost, and streams wait until a path without it is set.
+    /// A partition: datagrams are lost, and streams wait until a path without a partition is set.
     pub cut: bool,
 }
 
-/// Delay (200 ms) of a lost segment of a stream, which is retransmitted: the least retransmission timeout of TCP on
-/// common systems.
+/// Additional delay (200 ms) of a lost segment of a stream, which is retransmitted: the minimum
+/// retransmission timeout of TCP on common systems.
 const RETRANSMISSION_DELAY: Time = 2_000;
 
 /// What a [`Tap`] does to one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tapped {
-    /// Passes on.
+    /// The message is passed on.
     Pass,
-    /// Is dropped; a stream is reset by it.
+    /// The message is dropped. A stream that loses a segment is reset.
     Lose,
-    /// Is duplicated: a datagram's copy comes so much later, a stream's bytes at once.
+    /// The message is duplicated: a datagram again after this delay, a stream's bytes within the same
+    /// segment.
     Twice(Time),
-    /// Is delayed by so much, and so is what follows it on a stream.
+    /// The message arrives after this delay, and what follows it on a stream does not arrive earlier.
     Hold(Time),
-    /// A datagram goes to another node, by its number, at the first socket that this one bound.
+    /// A datagram is redirected to the first socket of the node with this number.
     To(usize),
 }
 
-/// Sees each datagram, and each segment of a stream, between nodes: called with the numbers of the sending and the
-/// receiving node, whether it is a datagram, and its bytes, which it may change.
+/// A callback for each datagram and each stream segment between nodes. Its arguments are the number of the
+/// sending node and of the receiving node, whether the message is a datagram, and the bytes, which it may
+/// change.
 pub type Tap = Box<dyn FnMut(usize, usize, bool, &mut Vec<u8>) -> Tapped>;
 
-/// The nodes that a path leads from and to, by their numbers.
+/// The numbers of the nodes that a path connects, in its direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Route {
     pub(super) from: usize,
@@ -50,28 +54,28 @@
 }
 
 impl World {
-    /// Sends from one node to another: past the tap, then by their path.
+    /// Sends a message from one node to another: through the tap, then along their path.
     pub(super) fn transmit(&mut self, route: Route, mut event: Event) {
         let Some(mut tap) = self.tap.take() else {
             return self.send_by_path(route, event);
         };
-        let verdict = match &mut event {
+        let action = match &mut event {
             Event::Datagram { bytes, .. } => tap(route.from, route.to, true, bytes),
             Event::Data { bytes, .. } => tap(route.from, route.to, false, bytes),
             _ => Tapped::Pass,
         };
         self.tap = Some(tap);
-        match verdict {
+        match action {
             Tapped::Pass => self.send_by_path(route, event),
-            Tapped::Lose => self.lose(route, event),
+            Tapped::Lose => self.drop_message(route, event),
             Tapped::Twice(wait) => self.duplicate(route, event, wait),
             Tapped::Hold(wait) => self.delay_in_order(event, wait),
             Tapped::To(node) => self.redirect(route, event, node),
         }
     }
 
-    /// Drops a message; what a stream loses resets it.
-    fn lose(&mut self, route: Route, event: Event) {
+    /// Drops a message. A lost segment resets its stream.
+    fn drop_message(&mut self, route: Route, event: Event) {
         if let Event::Data { conn, bytes } = event {
             if let Some(endpoint) = self.endpoint(conn) {
                 endpoint.in_flight -= bytes.len();
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Sends a datagram again after `wait`, or the bytes of a stream twice in one segment.
+    /// Sends a datagram and a copy of it after `wait`, or the bytes of a stream twice in one segment.
     fn duplicate(&mut self, route: Route, event: Event, wait: Time) {
         match event {
             Event::Datagram { to, from, bytes } => {
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Delivers after `wait`; what follows on a stream waits as well.
+    /// Delivers a message after `wait`. What follows on the same stream is not delivered before it.
     fn delay_in_order(&mut self, event: Event, wait: Time) {
         if let Event::Data { conn, .. } = &event {
             let at = self.now + wait;
@@ -115,7 +119,7 @@
         self.schedule(wait, event);
     }
 
-    /// Sends a datagram to the first socket of another node, and nowhere if it has none.
+    /// Sends a datagram to the first socket of another node, or drops it where that node has none.
     fn redirect(&mut self, route: Route, event: Event, node: usize) {
         let Event::Datagram { from, bytes, .. } = event else {
             return self.send_by_path(route, event);
@@ -127,7 +131,8 @@
         }
     }
 
-    /// Schedules the delivery as the path allows. The draws are made in a fixed order: runs with a seed depend on it.
+    /// Schedules the delivery according to the path. The random numbers are drawn in a fixed order, because
+    /// the reproducibility of seeded runs depends on it.
     fn send_by_path(&mut self, route: Route, event: Event) {
         let default = Path {
             delay: self.delay,
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Schedules a stream's event, no sooner than the one before it on this endpoint.
+    /// Schedules an event of a stream, no earlier than the previous one for the same endpoint.
     fn schedule_in_order(&mut self, wait: Time, event: Event) {
         let now = self.now;
         let endpoint = event
--- a/crates/tidewall-net/src/memory/scheduler.rs
+++ b/crates/tidewall-net/src/memory/scheduler.rs
@@ -1,4 +1,4 @@
-//! The order of things: the next event, timer or end of a wake-up.
+//! Selection of what happens next: an event, a timer or the end of a wake-up.
 use super::delivery::deliver;
 use super::handle::Memory;
 use super::world::World;
@@ -7,11 +7,11 @@
 use std::hash::Hasher;
 use std::rc::Rc;
 
-/// The apps of all nodes, in the order in which the nodes joined; those that joined last may be left out, as long as
-/// nothing happens to them.
+/// The apps of all nodes, in the order in which the nodes joined. Apps of the nodes that joined last may be
+/// left out, as long as no event or timer is delivered to them.
 pub type Apps<'a, 'b> = &'a mut [&'b mut dyn App<Net = Memory>];
 
-/// What this thread is simulating: logs tell it in place of the system's time.
+/// What this thread is simulating. Logs show it in place of the system's time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CurrentStep {
     /// The world's time.
@@ -24,72 +24,73 @@
     static CURRENT_STEP: Cell<Option<CurrentStep>> = const { Cell::new(None) };
 }
 
-/// The last step of the run that this thread is simulating; none before its first one.
+/// The last step of the run that this thread is simulating, or `None` before its first step.
 pub fn current_step() -> Option<CurrentStep> {
     CURRENT_STEP.get()
 }
 
-/// Notes that the app of a node is about to be called.
+/// Records that the app of a node is about to be called.
 pub(super) fn enter_step(at: Time, node: usize) {
     CURRENT_STEP.set(Some(CurrentStep { at, node }));
 }
 
-/// Delivers one event or timer, or reports the end of a wake-up, if any is due by `until`. False where none is: the
-/// world's time is `until` then.
-pub fn step(world: &Rc<RefCell<World>>, apps: Apps, until: Time) -> bool {
-    let mut w = world.borrow_mut();
-    let next_event = w.events.first_key_value().map(|entry| entry.0 .0);
-    // A wake-up ends when all events of its time have been delivered.
-    let awake = w
+/// Delivers one event or timer, or reports the end of a wake-up, if any is due by `until`. Otherwise advances
+/// the world's time to `until` and returns false.
+pub fn step(shared_world: &Rc<RefCell<World>>, apps: Apps, until: Time) -> bool {
+    let mut world = shared_world.borrow_mut();
+    let next_event = world.events.first_key_value().map(|entry| entry.0 .0);
+    // A wake-up ends once all events of its time have been delivered.
+    let awake = world
         .nodes
         .iter()
         .take(apps.len())
         .position(|node| node.awake && node.is_running());
-    if let Some(node) = awake.filter(|_| next_event.is_none_or(|at| at > w.now)) {
-        w.nodes[node].awake = false;
-        enter_step(w.now, node);
-        drop(w);
+    if let Some(node) = awake.filter(|_| next_event.is_none_or(|at| at > world.now)) {
+        world.nodes[node].awake = false;
+        enter_step(world.now, node);
+        drop(world);
         apps[node].wakeup_ended();
         return true;
     }
-    let running = w.nodes.iter().enumerate().filter(|n| n.1.is_running());
+    let running = world.nodes.iter().enumerate().filter(|n| n.1.is_running());
     let next_timer = running
         .filter_map(|(index, node)| Some((node.next_expiry()?, index)))
         .min();
-    // Sockets go before timers of the same time, as on the operating system's network.
+    // Events go before timers of the same time, as sockets do in the event loop on operating-system sockets.
     if next_event.is_some_and(|at| at <= until && next_timer.is_none_or(|timer| at <= timer.0)) {
-        if let Some(((at, _), event)) = w.events.pop_first() {
-            w.now = w.now.max(at);
-            w.steps += 1;
-            drop(w);
-            deliver(world, apps, event);
+        if let Some(((at, _), event)) = world.events.pop_first() {
+            world.now = world.now.max(at);
+            world.steps += 1;
+            drop(world);
+            deliver(shared_world, apps, event);
             return true;
         }
     }
     if let Some((at, node)) = next_timer.filter(|timer| timer.0 <= until) {
-        let token = w.expire_timer(at, node);
-        enter_step(w.now, node);
-        drop(w);
+        let token = world.expire_timer(at, node);
+        enter_step(world.now, node);
+        drop(world);
         if let Some(token) = token {
             apps[node].timer_fired(token);
         }
         return true;
     }
-    w.now = w.now.max(until);
+    world.now = world.now.max(until);
     false
 }
 
-/// Delivers all that happens by `until`.
-pub fn run(world: &Rc<RefCell<World>>, apps: Apps, until: Time) {
-    // Apps that were called from outside since the last run get the end of that wake-up.
-    for node in &mut world.borrow_mut().nodes {
+/// Delivers all events and timers that are due by `until`.
+pub fn run(shared_world: &Rc<RefCell<World>>, apps: Apps, until: Time) {
+    // Apps may have been called directly since the last run: `App::wakeup_ended` must follow those calls too.
+    for node in &mut shared_world.borrow_mut().nodes {
         node.awake = true;
     }
-    while step(world, apps, until) {}
+    while step(shared_world, apps, until) {}
 }
 
 impl World {
-    /// Advances to `at` and takes an expired timer of the node: None where the wheel's bound was not exact yet.
+    /// Advances the time to `at` and removes an expired timer of the node. Returns its token, or `None` where
+    /// `at` was only a lower bound of the next expiry.
     fn expire_timer(&mut self, at: Time, node: usize) -> Option<u64> {
         self.now = self.now.max(at);
         self.steps += 1;
--- a/crates/tidewall-net/src/memory/world.rs
+++ b/crates/tidewall-net/src/memory/world.rs
@@ -1,4 +1,4 @@
-//! The simulated network: its clock, its scheduled events and everything that is connected by it.
+//! The simulated network: its clock, its scheduled events, its nodes and their sockets.
 use super::endpoint::Endpoint;
 use super::event::Event;
 use super::handle::Memory;
@@ -15,10 +15,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Latency of messages without a [`Path`] of their own: 0.2 ms, a round trip of 0.4 ms on a local network.
+/// Latency between nodes for which no [`Path`] is set: 0.2 ms, for a round trip of 0.4 ms as on a local
+/// network.
 const DEFAULT_DELAY: Time = 2;
 
-/// Ports above this one are given to sockets that ask for a free one.
+/// Sockets that request a free port get a port above this one.
 const EPHEMERAL_PORTS: u16 = 20_000;
 
 /// A listener or a datagram socket.
@@ -31,37 +32,37 @@
 /// The simulated network of all nodes.
 pub struct World {
     pub(super) now: Time,
-    /// Number of events scheduled so far: events of one time are delivered in the order of their scheduling.
+    /// Number of events scheduled so far. Events of the same time are delivered in the order of this number.
     pub(super) scheduled: u64,
     pub(super) events: BTreeMap<(Time, u64), Event>,
     pub(super) endpoints: Slab<Endpoint>,
     pub(super) last_generation: u32,
-    /// By the number of the [`Listener`](crate::Listener); None once closed.
+    /// Indexed by the number of the [`Listener`](crate::Listener); `None` once closed.
     pub(super) listeners: Vec<Option<BoundSocket>>,
-    /// By the number of the [`DatagramSocket`](crate::DatagramSocket); None once closed.
+    /// Indexed by the number of the [`DatagramSocket`](crate::DatagramSocket); `None` once closed.
     pub(super) datagram_sockets: Vec<Option<BoundSocket>>,
     pub(super) nodes: Vec<Node>,
     pub(super) paths: BTreeMap<Route, Path>,
-    /// What waits for the end of a partition, in order.
+    /// Messages of streams that wait for the end of a partition, in the order in which they were sent.
     pub(super) blocked: Vec<(Route, Event)>,
     pub(super) rng: ChaCha8Rng,
-    /// Over all that was delivered, to compare runs.
+    /// Digest of everything that was delivered, to compare runs.
     pub(super) digest: FxHasher,
     /// Number of events and timers delivered so far.
     pub steps: u64,
-    /// Addresses that the node which listens there last takes over from the former one, as a virtual router's address
-    /// moves; elsewhere a second listener is refused.
+    /// Addresses that can move between nodes, like the address of a virtual router: a node that listens there
+    /// takes the address over from its former owner. A second listener at any other address is refused.
     pub moves: Vec<SocketAddr>,
-    /// Sees and changes messages between nodes.
+    /// Observes and changes messages between nodes.
     pub tap: Option<Tap>,
-    /// Latency where no path is set, in tenths of a millisecond.
+    /// Latency between nodes for which no path is set, in tenths of a millisecond.
     pub delay: Time,
-    /// Bytes of a stream are passed to apps in segments of at most this many; 0 for no limit.
+    /// Maximum number of bytes that are passed to an app in one segment of a stream; 0 for no limit.
     pub piece: usize,
     pub(super) last_port: u16,
 }
 
-/// A network without nodes, at time 1.
+/// Creates a network without nodes, at time 1.
 pub fn world() -> Rc<RefCell<World>> {
     Rc::new(RefCell::new(World {
         now: 1,
@@ -86,22 +87,23 @@
 }
 
 impl World {
-    /// Seeds the random choices of the paths.
+    /// Seeds the random number generator of the paths.
     pub fn seed(&mut self, seed: u64) {
         self.rng = ChaCha8Rng::seed_from_u64(seed);
     }
 
-    /// The world's time, in tenths of a millisecond; the nodes' clocks may differ from it.
+    /// The world's time, in tenths of a millisecond. The clocks of the nodes may differ from it.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// A digest of the times and bytes of all that was delivered: equal for equal runs.
+    /// A digest of the times and bytes of everything that was delivered: equal for equal runs.
     pub fn digest(&self) -> u64 {
         self.digest.finish()
     }
 
-    /// Sets the path from one node to another, in this direction only. The end of a partition releases what it blocked.
+    /// Sets the path from one node to another, in this direction only. Where it ends a partition, the blocked
+    /// messages of streams are sent.
     pub fn path(&mut self, from: &Memory, to: &Memory, path: Path) {
         let route = Route {
             from: from.node,
@@ -119,25 +121,25 @@
         }
     }
 
-    /// Schedules an event after `wait`, whatever the path.
+    /// Schedules an event after `wait`, without regard to any path.
     pub(super) fn schedule(&mut self, wait: Time, event: Event) {
         self.scheduled += 1;
         self.events.insert((self.now + wait, self.scheduled), event);
     }
 
-    /// The node that listens at an address.
+    /// The node that listens at an address, if any.
     pub(super) fn listening_node(&self, address: SocketAddr) -> Option<usize> {
         let mut listeners = self.listeners.iter().flatten();
         listeners.find(|l| l.address == address).map(|l| l.node)
     }
 
-    /// The node with a datagram socket at an address.
+    /// The node that has a datagram socket at an address, if any.
     pub(super) fn datagram_node(&self, address: SocketAddr) -> Option<usize> {
         let mut sockets = self.datagram_sockets.iter().flatten();
         sockets.find(|s| s.address == address).map(|s| s.node)
     }
 
-    /// The address, with a free port in place of port 0.
+    /// Replaces port 0 of an address by a free port.
     pub(super) fn choose_port(&mut self, mut address: SocketAddr) -> SocketAddr {
         if address.port() == 0 {
             self.last_port += 1;
--- a/crates/tidewall-net/src/mio/clock.rs
+++ b/crates/tidewall-net/src/mio/clock.rs
@@ -1,27 +1,28 @@
-//! The event loop's clock, and how late the loop runs by it.
+//! The event loop's clock, and the measurement of how late the loop runs.
 use crate::Time;
 use std::time::Instant;
 
-/// A wake-up that comes this much later than it was due, or lasts this long, counts as a stall of this process: well
-/// above the scheduling latency of a busy machine, well below any timeout by which a worker is judged.
+/// A wake-up that begins more than this (100 ms) after it was due, or takes longer than this, counts as a
+/// stall of this process. The value is well above the scheduling latency of a busy machine, and well below
+/// any timeout after which a worker is considered failed.
 pub(super) const STALL_THRESHOLD: Time = 1_000;
 
-/// Length of a window of [`LoopClock::max_lag`]: a second.
+/// Length of a window of [`LoopClock::max_lag`]: one second.
 const LAG_WINDOW: Time = 10_000;
 
-/// A clock that is read once in each step of the loop, so that all of a step sees the same time.
+/// A clock that is read at fixed points of a wake-up, so that everything between them sees the same time.
 pub(super) struct LoopClock {
     origin: Instant,
-    /// Runs faster than real time by so many millionths.
+    /// By how many parts per million the clock runs faster than real time.
     skew_ppm: i64,
     now: Time,
-    /// Greatest lag of the current window and of the one before.
+    /// Maximum lag in the current window and in the one before.
     window_lags: [Time; 2],
     window_start: Time,
 }
 
 impl LoopClock {
-    /// A clock that counts from now, at real time's rate.
+    /// Creates a clock that counts from the moment of the call, at the rate of real time.
     pub(super) fn new() -> LoopClock {
         LoopClock {
             origin: Instant::now(),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Counts from another origin and at another rate from the next update on.
+    /// Sets the origin and the rate of the clock, effective from the next update on.
     pub(super) fn set_origin(&mut self, origin: Instant, skew_ppm: i64) {
         (self.origin, self.skew_ppm) = (origin, skew_ppm);
     }
@@ -42,20 +43,20 @@
         self.now
     }
 
-    /// Reads the system's clock: whole tenths since the origin, rounded down, plus 1, as 0 means "long ago" to the
-    /// apps. Never goes back.
+    /// Reads the system's clock: tenths of a millisecond since the origin, rounded down, plus 1, because apps
+    /// use 0 for "long ago". The time never goes back.
     pub(super) fn update(&mut self) {
         self.now = self.current();
     }
 
-    /// The time of the system's clock, without an update.
+    /// The current time by the system's clock; does not update [`LoopClock::now`].
     pub(super) fn current(&self) -> Time {
         let elapsed = (self.origin.elapsed().as_micros() / 100) as i128;
         let skewed = elapsed + elapsed * i128::from(self.skew_ppm) / 1_000_000;
         self.now.max(skewed as Time + 1)
     }
 
-    /// Records how late or how long a wake-up was. Stalls are left out.
+    /// Records by how much a wake-up was late, or how long it took. Stalls are ignored.
     pub(super) fn record_lag(&mut self, lag: Time) {
         if self.now >= self.window_start + LAG_WINDOW {
             let adjacent = self.now < self.window_start + 2 * LAG_WINDOW;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The greatest lag of the current window and of the one before.
+    /// The maximum lag in the current window and in the one before.
     pub(super) fn max_lag(&self) -> Time {
         self.window_lags[0].max(self.window_lags[1])
     }
--- a/crates/tidewall-net/src/mio/closing.rs
+++ b/crates/tidewall-net/src/mio/closing.rs
@@ -1,21 +1,21 @@
-//! The end of connections: graceful close with a linger, reset and abort.
+//! Ways to end a connection: graceful close with a linger, reset and abort.
 use super::slots::{InternalTimer, PendingClose, Slot};
 use super::Mio;
 use crate::{CloseReason, Conn, Time};
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// A connection that was written to less than this (100 ms) ago is closed in two steps: first the write half; then,
-/// when the peer has closed too or after this time, the rest. Closing a socket with unread bytes sends a reset, which
-/// may discard the last answer before the peer has read it. A hundred round trips of a local network; far less than
-/// clients wait.
+/// A connection that was written to at most this long (100 ms) ago is closed in two steps: first the write
+/// half, and the rest when the peer has closed too or after this time. Closing a socket with unread bytes
+/// sends a reset, which may discard the last response before the peer has read it. 100 ms is a hundred round
+/// trips on a local network, and far less than clients wait.
 const LINGER: Time = 1_000;
 
-/// Time between two looks at the lingering connections before the loop returns.
+/// Interval at which lingering connections are checked before the event loop returns.
 const LINGER_POLL: Duration = Duration::from_millis(5);
 
 impl Mio {
-    /// Closes once the write buffer is sent.
+    /// Closes the connection once its write buffer has been sent.
     pub(super) fn close_gracefully(&mut self, conn: Conn) {
         if let Some(c) = self.connection_mut(conn) {
             c.closing = true;
@@ -27,7 +27,8 @@
     /// Resets the connection and notifies the app in this wake-up.
     pub(super) fn abort_connection(&mut self, conn: Conn) {
         if let Some(c) = self.connection_mut(conn) {
-            // The slot stays occupied until the app is notified, so that no other connection gets the same index.
+            // The slot stays occupied until the app has been notified, so that no other connection gets the
+            // same index.
             c.closing = true;
             c.discard_unsent();
             c.reset_on_close();
@@ -46,17 +47,17 @@
         self.remove_failed_connect(conn);
     }
 
-    /// Whether its peer may still have to read what was written to it last.
+    /// Whether the connection was written to so recently that its peer may not have read all of it.
     pub(super) fn wrote_recently(&self, conn: Conn) -> bool {
         let now = self.clock.now();
         self.connection(conn)
             .is_some_and(|c| c.last_write > 0 && now <= c.last_write + LINGER)
     }
 
-    /// With all written: shuts down the write half and starts the linger. True where there is nothing to wait for and
-    /// the connection can be removed.
+    /// Shuts down the write half of a connection whose write buffer is empty, and starts the linger. Returns
+    /// true where there is nothing to wait for and the connection can be removed.
     #[must_use]
-    pub(super) fn shut_down_or_done(&mut self, conn: Conn) -> bool {
+    pub(super) fn shut_down_write(&mut self, conn: Conn) -> bool {
         let now = self.clock.now();
         let Some(c) = self.connection(conn) else {
             return true;
@@ -76,8 +77,8 @@
         false
     }
 
-    /// Before the process closes the sockets: shuts down the write half of all accepted connections and reads what they
-    /// send until they close too, or the linger ends. See [`LINGER`].
+    /// Shuts down the write half of all accepted connections and discards their input until the peers close
+    /// too or the linger ends. Called before the process closes the sockets; see [`LINGER`].
     pub(super) fn linger_all(&mut self) {
         self.clock.update();
         let until = self.clock.now() + LINGER;
@@ -89,14 +90,14 @@
                 lingering.extend(lingers.then_some(Conn::new(index, c.generation)));
             }
         }
-        lingering.retain(|conn| !self.shut_down_or_done(*conn));
+        lingering.retain(|conn| !self.shut_down_write(*conn));
         while !lingering.is_empty() && self.clock.now() < until {
             lingering.retain(|conn| {
                 self.connection_mut(*conn)
                     .is_some_and(|c| !c.discard_input(&mut chunk))
             });
             if let Some(events) = self.events.as_mut().filter(|_| !lingering.is_empty()) {
-                // An interrupted poll only makes this round shorter.
+                // An interrupted poll only shortens this interval.
                 let _ = self.poll.poll(events, Some(LINGER_POLL));
             }
             self.clock.update();
--- a/crates/tidewall-net/src/mio/connection.rs
+++ b/crates/tidewall-net/src/mio/connection.rs
@@ -1,14 +1,15 @@
-//! One stream socket with its buffers, and the system calls that the standard library does not offer.
+//! A stream socket with its buffers, and socket system calls that the standard library does not provide.
 use crate::buffer::{Buffer, READ_BUFFER_LIMIT};
 use crate::{Time, TimerId};
 use mio::net::TcpStream;
 use std::io::{self, Read};
 use std::os::fd::AsRawFd;
 
-/// Reads of [`Connection::discard_input`] in one call, so that a peer that sends without end does not hold the loop.
+/// Maximum number of reads in one call of [`Connection::discard_input`], so that a peer that sends endlessly
+/// does not block the event loop.
 const MAX_DISCARD_READS: usize = 16;
 
-/// A connection, from the attempt to connect to the end of its linger.
+/// A connection, from the start of connecting to the end of its linger.
 pub(super) struct Connection {
     pub(super) socket: TcpStream,
     pub(super) generation: u32,
@@ -16,32 +17,33 @@
     pub(super) connect_timer: Option<TimerId>,
     pub(super) read_buffer: Buffer,
     pub(super) write_buffer: Buffer,
-    /// The most bytes that `read_buffer` may hold.
+    /// Limit of bytes in `read_buffer`; the connection is closed when the app leaves that many.
     pub(super) read_limit: usize,
-    /// Readiness is edge-triggered: set by an event, cleared when a read would block.
+    /// Whether the socket may be readable. Readiness is edge-triggered: an event sets this, and a read that
+    /// would block clears it.
     pub(super) readable: bool,
     pub(super) read_paused: bool,
     pub(super) paused_at: Time,
-    /// For how long the bytes that are still in the socket may have waited because reading was paused.
+    /// How long the bytes that are still in the socket may have waited because reading was paused.
     pub(super) pause_delay: Time,
-    /// Whether it is in the queue of connections to read, and in that of connections to flush.
+    /// Whether the connection is in `Mio::read_queue`, and whether it is in `Mio::flush_queue`.
     pub(super) read_queued: bool,
     pub(super) flush_queued: bool,
     /// A write was not accepted in full: `App::writable` must follow.
     pub(super) writable_pending: bool,
     pub(super) closing: bool,
-    /// Aborted by the app, which has not been notified yet.
+    /// The app has aborted the connection and has not been notified of its end yet.
     pub(super) aborted: bool,
-    /// Accepted by a listener, not opened by this side.
+    /// Whether a listener accepted the connection; false where this side opened it.
     pub(super) accepted: bool,
     /// When the socket last accepted bytes; 0 for never.
     pub(super) last_write: Time,
-    /// Ends the linger: set once the write half is shut down.
+    /// The end of the linger; set once the write half is shut down.
     pub(super) linger_timer: Option<TimerId>,
 }
 
 impl Connection {
-    /// A connection that was accepted.
+    /// Creates the state of an accepted connection.
     pub(super) fn new(socket: TcpStream, generation: u32) -> Connection {
         Connection {
             socket,
@@ -65,18 +67,18 @@
         }
     }
 
-    /// Whether it can be written to.
+    /// Whether connecting has completed, so that the socket can be read and written.
     pub(super) fn is_established(&self) -> bool {
         self.connect_timer.is_none()
     }
 
-    /// Empties the write buffer without sending.
+    /// Discards the bytes in the write buffer.
     pub(super) fn discard_unsent(&mut self) {
         let unsent = self.write_buffer.len();
         self.write_buffer.consume(unsent);
     }
 
-    /// Reads and discards what has arrived. True at the end of the stream or after an error.
+    /// Reads and discards input. Returns true at the end of the stream or after an error.
     pub(super) fn discard_input(&mut self, chunk: &mut [u8]) -> bool {
         for _ in 0..MAX_DISCARD_READS {
             match self.socket.read(chunk) {
@@ -89,11 +91,12 @@
         false
     }
 
-    /// Bytes in the socket's send queue, which the peer has not acknowledged; 0 where the system does not say.
+    /// Number of bytes in the socket's send queue, which the peer has not acknowledged; 0 where the system
+    /// call fails.
     pub(super) fn send_queue_len(&self) -> usize {
         let mut count: libc::c_int = 0;
-        // SAFETY: the descriptor is open as long as `self.socket` lives, and TIOCOUTQ writes one `c_int`, to which the
-        // pointer is valid for the duration of the call.
+        // SAFETY: the descriptor is open as long as `self.socket` lives, and TIOCOUTQ writes one `c_int`, to
+        // which the pointer is valid for the duration of the call.
         let result = unsafe { libc::ioctl(self.socket.as_raw_fd(), libc::TIOCOUTQ, &mut count) };
         if result == 0 {
             count.max(0) as usize
@@ -108,8 +111,8 @@
             l_onoff: 1,
             l_linger: 0,
         };
-        // SAFETY: the descriptor is open as long as `self.socket` lives, and the pointer and length describe `linger`,
-        // which outlives the call and is the type that SO_LINGER reads.
+        // SAFETY: the descriptor is open as long as `self.socket` lives, and the pointer and length describe
+        // `linger`, which outlives the call and is the type that SO_LINGER reads.
         unsafe {
             libc::setsockopt(
                 self.socket.as_raw_fd(),
--- a/crates/tidewall-net/src/mio/datagrams.rs
+++ b/crates/tidewall-net/src/mio/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagram sockets.
+//! Datagram sockets: binding and receiving.
 use super::listeners::open_socket;
 use super::slots::Slot;
 use super::Mio;
@@ -8,30 +8,32 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Datagrams received from one socket in one wake-up, so that a busy one does not starve the others.
+/// Maximum number of datagrams received from one socket in one wake-up, so that a busy socket does not starve
+/// others.
 const MAX_DATAGRAMS: usize = 64;
 
-/// Bytes received of a datagram; what is longer is cut. More than an Ethernet frame holds (1,500).
+/// Maximum number of bytes received of a datagram; longer ones are truncated. An Ethernet frame holds fewer
+/// (1,500).
 const MAX_DATAGRAM_SIZE: usize = 2048;
 
 impl Mio {
     pub(super) fn open_datagram_socket(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
     ) -> io::Result<(DatagramSocket, SocketAddr)> {
-        let mut socket = open_socket(|| UdpSocket::bind(at))?;
-        let at = socket.local_addr()?;
+        let mut socket = open_socket(|| UdpSocket::bind(address))?;
+        let bound_address = socket.local_addr()?;
         let entry = self.slots.vacant_entry();
         self.poll
             .registry()
             .register(&mut socket, Token(entry.key()), Interest::READABLE)?;
         let id = DatagramSocket(entry.key());
         entry.insert(Slot::DatagramSocket(socket));
-        Ok((id, at))
+        Ok((id, bound_address))
     }
 }
 
-/// Receives from a socket, up to the bound of a wake-up.
+/// Receives datagrams from a socket: at most [`MAX_DATAGRAMS`], the rest in the next wake-up.
 pub(super) fn receive<A: App<Net = Mio>>(app: &mut A, index: usize) {
     let mut bytes = [0; MAX_DATAGRAM_SIZE];
     for _ in 0..MAX_DATAGRAMS {
--- a/crates/tidewall-net/src/mio/listeners.rs
+++ b/crates/tidewall-net/src/mio/listeners.rs
@@ -1,4 +1,4 @@
-//! Listening sockets: the accept loop.
+//! Listening sockets: opening, accepting and closing.
 use super::slots::{InternalTimer, PendingAccept, Slot};
 use super::Mio;
 use crate::{App, Listener, Time};
@@ -8,21 +8,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Connections accepted from one listener in one wake-up, so that a busy one does not starve the others.
+/// After this many accepted connections a listener yields until the next wake-up, so that a busy listener
+/// does not starve other sockets.
 const MAX_ACCEPTS: usize = 64;
 
-/// Without a free file descriptor accepting pauses this long (100 ms) instead of spinning.
+/// How long (100 ms) accepting pauses when no file descriptor is free, instead of retrying in a busy loop.
 const ACCEPT_PAUSE: Time = 1_000;
 
-/// A listener that is being closed tries so often to accept what waits: for a second.
+/// How often a listener that is being closed tries to accept its backlog, once per [`ACCEPT_PAUSE`]: for one
+/// second.
 const MAX_CLOSE_TRIES: u32 = 10;
 
-/// A socket that is bound, mostly at the start of the process, is tried so often where the machine lacks something for it for a
-/// moment, with this pause: 0.2 s in all, in which nothing else is done.
+/// How often opening a bound socket is tried while the machine is short of resources, and the pause between
+/// two tries: about 0.2 s in all, for which the event loop is blocked. Sockets are mostly bound at the start
+/// of the process.
 const OPEN_TRIES: u32 = 8;
 const OPEN_PAUSE: Duration = Duration::from_millis(25);
 
-/// Opens a socket that is bound to an address, trying again where the machine lacks something for a moment.
+/// Opens a bound socket, and tries again while the machine is short of resources.
 pub(super) fn open_socket<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..OPEN_TRIES {
         match open() {
@@ -33,7 +36,7 @@
     open()
 }
 
-/// Whether the machine lacks a descriptor or memory for now, or a signal came.
+/// Whether an error is temporary: no file descriptor or memory is free, or a signal interrupted the call.
 fn is_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -41,20 +44,21 @@
     )
 }
 
-/// What a failed accept means, by the errors that accept(2) documents.
+/// The consequence of a failed accept, according to the errors that accept(2) documents.
 enum AcceptFailure {
-    /// No connection waits.
-    NothingWaits,
-    /// One connection is gone, or a signal came: the next one may be accepted.
+    /// The backlog is empty.
+    BacklogEmpty,
+    /// One connection was lost, or a signal interrupted the call: accepting can go on with the next
+    /// connection.
     ThisConnection,
-    /// No descriptor or memory is left for now. What waits stays in the backlog.
+    /// No file descriptor or memory is free for now. Waiting connections stay in the backlog.
     Shortage,
 }
 
 impl AcceptFailure {
-    fn of(error: &io::Error) -> AcceptFailure {
+    fn from_error(error: &io::Error) -> AcceptFailure {
         match error.raw_os_error() {
-            Some(libc::EAGAIN) => AcceptFailure::NothingWaits,
+            Some(libc::EAGAIN) => AcceptFailure::BacklogEmpty,
             Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => {
                 AcceptFailure::Shortage
             }
@@ -64,20 +68,24 @@
 }
 
 impl Mio {
-    pub(super) fn open_listener(&mut self, at: SocketAddr) -> io::Result<(Listener, SocketAddr)> {
-        let mut socket = open_socket(|| TcpListener::bind(at))?;
-        let at = socket.local_addr()?;
+    pub(super) fn open_listener(
+        &mut self,
+        address: SocketAddr,
+    ) -> io::Result<(Listener, SocketAddr)> {
+        let mut socket = open_socket(|| TcpListener::bind(address))?;
+        let bound_address = socket.local_addr()?;
         let entry = self.slots.vacant_entry();
         self.poll
             .registry()
             .register(&mut socket, Token(entry.key()), Interest::READABLE)?;
         let listener = Listener(entry.key());
         entry.insert(Slot::Listener(socket));
-        Ok((listener, at))
+        Ok((listener, bound_address))
     }
 
-    /// Closes the listener after its backlog was accepted: closing it alone would reset the connections in it and lose
-    /// what they have sent. Where accepting fails for a moment it goes on a little later.
+    /// Closes the listener after accepting its backlog, because closing the socket resets the connections in
+    /// the backlog and loses what their peers have sent. Where accepting fails for lack of resources, it is
+    /// tried again later.
     pub(super) fn close_listener(&mut self, listener: Listener) {
         if !self.closing_listeners.iter().any(|(l, _)| *l == listener) {
             self.closing_listeners.push((listener, 0));
@@ -85,7 +93,8 @@
         self.resume_closing(listener.0);
     }
 
-    /// Goes on closing a listener; false where it is not being closed.
+    /// Tries again to accept the backlog of a listener that is being closed, and then closes it. Returns
+    /// false where the listener is not being closed.
     pub(super) fn resume_closing(&mut self, index: usize) -> bool {
         let closing = &mut self.closing_listeners;
         let Some(position) = closing.iter().position(|(l, _)| l.0 == index) else {
@@ -103,13 +112,13 @@
         true
     }
 
-    /// Accepts all that waits; false where that failed for a moment.
+    /// Accepts all connections in the backlog. Returns false where a lack of resources prevented it.
     fn accept_backlog(&mut self, listener: Listener) -> bool {
         while let Some(Slot::Listener(socket)) = self.slots.get(listener.0) {
             match socket.accept() {
                 Ok((socket, from)) => self.add_accepted(listener, socket, from),
-                Err(error) => match AcceptFailure::of(&error) {
-                    AcceptFailure::NothingWaits => return true,
+                Err(error) => match AcceptFailure::from_error(&error) {
+                    AcceptFailure::BacklogEmpty => return true,
                     AcceptFailure::ThisConnection => {}
                     AcceptFailure::Shortage => return false,
                 },
@@ -118,7 +127,8 @@
         true
     }
 
-    /// A connection that was accepted while its listener is being closed: the app is told in the next wake-up.
+    /// Adds a connection that was accepted while its listener is being closed. The app is notified of it in
+    /// the next wake-up.
     fn add_accepted(&mut self, listener: Listener, socket: TcpStream, from: SocketAddr) {
         let _ = socket.set_nodelay(true);
         if let Ok(conn) = self.add_connection(socket, None) {
@@ -138,23 +148,25 @@
         }
     }
 
-    /// Accepts nothing for a moment, instead of spinning.
+    /// Pauses accepting for [`ACCEPT_PAUSE`].
     fn pause_accepting(&mut self, index: usize) {
-        let at = self.clock.now() + ACCEPT_PAUSE;
+        let resume_at = self.clock.now() + ACCEPT_PAUSE;
         let token = InternalTimer::ResumeSocket(index).token();
-        self.internal_timers.insert(at, token);
+        self.internal_timers.insert(resume_at, token);
     }
 
-    /// Looks for more in the next wake-up: readiness is edge-triggered and is not reported again for what is there
-    /// already. Not in this wake-up, or a flood would hold the loop.
+    /// Accepts or receives from a socket again in the next wake-up, because edge-triggered readiness is not
+    /// reported again for input that is already there. It does not happen in this wake-up, because a flood of
+    /// input would then block the event loop.
     pub(super) fn resume_socket_later(&mut self, index: usize) {
-        let at = self.clock.now() + 1;
+        let resume_at = self.clock.now() + 1;
         let token = InternalTimer::ResumeSocket(index).token();
-        self.internal_timers.insert(at, token);
+        self.internal_timers.insert(resume_at, token);
     }
 }
 
-/// Accepts from a listener's backlog, up to the bound of a wake-up.
+/// Accepts connections from a listener's backlog, and leaves the rest to the next wake-up after
+/// [`MAX_ACCEPTS`].
 pub(super) fn accept<A: App<Net = Mio>>(app: &mut A, index: usize) {
     for accepts in 0.. {
         let net = app.net();
@@ -168,8 +180,8 @@
                     app.accepted(Listener(index), conn, from);
                 }
             }
-            Err(error) => match AcceptFailure::of(&error) {
-                AcceptFailure::NothingWaits => return,
+            Err(error) => match AcceptFailure::from_error(&error) {
+                AcceptFailure::BacklogEmpty => return,
                 AcceptFailure::ThisConnection => {}
                 AcceptFailure::Shortage => return net.pause_accepting(index),
             },
--- a/crates/tidewall-net/src/mio/mod.rs
+++ b/crates/tidewall-net/src/mio/mod.rs
@@ -1,14 +1,14 @@
-//! [`Net`] on operating-system sockets: a single-threaded event loop with edge-triggered readiness by mio. What is
-//! written in a wake-up leaves at its end, in one piece for each connection.
+//! [`Net`] on operating-system sockets: a single-threaded event loop with edge-triggered readiness by mio.
+//! What an app writes in a wake-up is buffered and sent at its end, in one write for each connection.
 //!
-//! | Module | Concern |
+//! | Module | Contents |
 //! |---|---|
-//! | `poll_loop` | wake-ups: readiness, signals, timers, in which order |
-//! | `clock` | the loop's time, its lag |
-//! | `slots` | registered sockets by token, queues of connections with work |
-//! | `connection` | one stream socket and its buffers |
-//! | `listeners`, `datagrams` | accepting, receiving |
-//! | `reading`, `writing`, `closing` | what happens to connections |
+//! | `poll_loop` | wake-ups: the order of readiness, signals and timers |
+//! | `clock` | the loop's time and its lag |
+//! | `slots` | registered sockets by token, and queues of connections to read or flush |
+//! | `connection` | a stream socket and its buffers |
+//! | `listeners`, `datagrams` | accepting connections, receiving datagrams |
+//! | `reading`, `writing`, `closing` | operations on connections |
 mod clock;
 mod closing;
 mod connection;
@@ -35,42 +35,42 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Bytes read from one connection in one read, so that a busy one does not starve the others.
+/// Maximum number of bytes in one read from a connection, so that a busy connection does not starve others.
 const READ_CHUNK: usize = 64 << 10;
 
-/// Readiness events taken from the system in one poll; what is beyond comes with the next one.
+/// Maximum number of readiness events that one poll returns; the next poll returns the rest.
 const EVENT_CAPACITY: usize = 1024;
 
 /// The sockets, timers and clock of one event loop, driven by [`run`] or [`turn`].
 pub struct Mio {
     poll: Poll,
-    /// None only while a poll's events are handled.
+    /// `None` only while the events of a poll are handled.
     events: Option<Events>,
     slots: Slab<Slot>,
     last_generation: u32,
     /// Timers of the app.
     app_timers: Wheel,
-    /// Timers of this module, by the tokens of `slots::InternalTimer`.
+    /// Timers of this module, with the tokens of `slots::InternalTimer`.
     internal_timers: Wheel,
     read_queue: VecDeque<Conn>,
     flush_queue: Vec<Conn>,
-    /// Ended without an event of their sockets, and the app is not notified yet.
+    /// Connections that ended without an event of their socket, of which the app has not been notified yet.
     pending_closes: VecDeque<PendingClose>,
-    /// Listeners that are being closed, each with how often that was tried.
+    /// Listeners that are being closed, each with the number of tries so far.
     closing_listeners: Vec<(Listener, u32)>,
-    /// Accepted when their listener was closed, and the app is not notified yet.
+    /// Connections accepted when their listener was closed, of which the app has not been notified yet.
     pending_accepts: VecDeque<PendingAccept>,
     clock: LoopClock,
-    /// When the poll was due to return at the latest; [`NEVER_POLLED`] before the first.
+    /// The latest time at which the poll was due to return; [`NEVER_POLLED`] before the first poll.
     wakeup_due: Time,
     /// When the last poll began.
     poll_started: Time,
     /// When the last poll returned.
     polled_at: Time,
     total_stall: Time,
-    /// For how long bytes may have waited because the loop was busy.
+    /// How long bytes may have waited because the event loop was busy or stalled.
     loop_delay: Time,
-    /// For how long the bytes of the connection that is being read may have waited because its reading was paused.
+    /// How long the bytes of the connection that is being read may have waited because reading was paused.
     pause_delay: Time,
     signals: Option<Signals>,
     stopped: bool,
@@ -78,10 +78,10 @@
 }
 
 impl Mio {
-    /// An event loop without sockets, whose clock starts now.
+    /// Creates an event loop without sockets, whose clock starts at the call.
     ///
     /// # Errors
-    /// The system's poll cannot be created, as no file descriptor is left.
+    /// The system's poll cannot be created, because no file descriptor is left.
     pub fn new() -> io::Result<Mio> {
         Ok(Mio {
             poll: Poll::new()?,
@@ -108,18 +108,19 @@
         })
     }
 
-    /// Sets the origin of the clock, so that the event loops of several threads have the same time, and its rate:
-    /// faster than real time by `skew_ppm` millionths (for fault tests).
+    /// Sets the origin of the clock, so that the event loops of several threads have the same time, and its
+    /// rate, which is faster than real time by `skew_ppm` parts per million (for fault tests).
     pub fn clock(&mut self, origin: Instant, skew_ppm: i64) {
         self.clock.set_origin(origin, skew_ppm);
         self.clock.update();
         (self.poll_started, self.wakeup_due) = (self.clock.now(), NEVER_POLLED);
     }
 
-    /// Delivers these signals, by their numbers, as `App::signal_received` from now on.
+    /// Handles the signals with these numbers: they are delivered by
+    /// [`App::signal_received`](crate::App::signal_received).
     ///
     /// # Errors
-    /// A signal cannot be handled, or the handler's pipe cannot be created or registered.
+    /// A signal cannot be handled, or the pipe of the signal handler cannot be created or registered.
     pub fn signals(&mut self, numbers: &[i32]) -> io::Result<()> {
         let mut signals = Signals::new(numbers)?;
         self.poll
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// Allows another [`run`] after a stop.
+    /// Resets the effect of [`Net::stop`], so that [`run`] can be called again.
     pub fn go_on(&mut self) {
         self.stopped = false;
         self.clock.update();
@@ -140,14 +141,14 @@
         self.stopped
     }
 
-    /// Starts to connect. A failure at once is reported in the next wake-up, like every other one.
+    /// Starts to connect. An immediate failure is queued, and reported to the app like a later one.
     fn start_connect(&mut self, to: SocketAddr, deadline: Time) -> Conn {
-        let added = TcpStream::connect(to).and_then(|socket| {
-            // Small frames must not wait for one another.
+        let started = TcpStream::connect(to).and_then(|socket| {
+            // Without TCP_NODELAY, small frames would wait for the acknowledgement of earlier ones.
             let _ = socket.set_nodelay(true);
             self.add_connection(socket, Some(deadline))
         });
-        added.unwrap_or_else(|error| {
+        started.unwrap_or_else(|error| {
             let generation = self.next_generation();
             let index = self.slots.insert(Slot::FailedConnect(generation));
             let conn = Conn::new(index, generation);
@@ -193,16 +194,16 @@
         self.clock.max_lag()
     }
 
-    fn listen(&mut self, at: SocketAddr) -> io::Result<(Listener, SocketAddr)> {
-        self.open_listener(at)
+    fn listen(&mut self, address: SocketAddr) -> io::Result<(Listener, SocketAddr)> {
+        self.open_listener(address)
     }
 
     fn stop_listening(&mut self, listener: Listener) {
         self.close_listener(listener);
     }
 
-    fn connect(&mut self, to: SocketAddr, within: Time) -> Conn {
-        self.start_connect(to, self.clock.now() + within)
+    fn connect(&mut self, to: SocketAddr, timeout: Time) -> Conn {
+        self.start_connect(to, self.clock.now() + timeout)
     }
 
     fn write(&mut self, conn: Conn, bytes: &[u8]) -> bool {
@@ -237,8 +238,8 @@
         }
     }
 
-    fn set_read_paused(&mut self, conn: Conn, on: bool) {
-        self.pause_reading(conn, on);
+    fn set_read_paused(&mut self, conn: Conn, paused: bool) {
+        self.pause_reading(conn, paused);
     }
 
     fn close(&mut self, conn: Conn) {
@@ -253,8 +254,8 @@
         self.abort_connection(conn);
     }
 
-    fn bind_datagram(&mut self, at: SocketAddr) -> io::Result<(DatagramSocket, SocketAddr)> {
-        self.open_datagram_socket(at)
+    fn bind_datagram(&mut self, address: SocketAddr) -> io::Result<(DatagramSocket, SocketAddr)> {
+        self.open_datagram_socket(address)
     }
 
     fn send_datagram(&mut self, socket: DatagramSocket, to: SocketAddr, bytes: &[u8]) {
@@ -263,8 +264,8 @@
         }
     }
 
-    fn set_timer(&mut self, at: Time, token: u64) -> TimerId {
-        self.app_timers.insert(at, token)
+    fn set_timer(&mut self, expires_at: Time, token: u64) -> TimerId {
+        self.app_timers.insert(expires_at, token)
     }
 
     fn cancel_timer(&mut self, timer: TimerId) {
--- a/crates/tidewall-net/src/mio/poll_loop.rs
+++ b/crates/tidewall-net/src/mio/poll_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: what a wake-up handles, and in which order.
+//! The event loop: what a wake-up does, and in which order.
 use super::clock::STALL_THRESHOLD;
 use super::datagrams::receive;
 use super::listeners::accept;
@@ -11,27 +11,31 @@
 use std::io;
 use std::time::Duration;
 
-/// The token of signals: no slot index, and not the one that mio reserves (`usize::MAX`).
+/// The registration token of signals: never a slot index, and not the token that mio reserves (`usize::MAX`).
 pub(super) const SIGNAL_TOKEN: usize = usize::MAX - 1;
 
-/// The value of `Mio::wakeup_due` before the first poll: time passed until then is no stall of the loop.
+/// The value of `Mio::wakeup_due` before the first poll. Time that passes until then does not count as a
+/// stall.
 pub(super) const NEVER_POLLED: Time = Time::MAX;
 
 /// The value of `Mio::wakeup_due` for a poll without a timeout.
 const NO_TIMEOUT: Time = Time::MAX - 1;
 
-/// After a stall this many rounds of poll and read go before the timers: otherwise answers that have arrived in the
-/// sockets meanwhile would be counted as missing.
+/// Maximum number of rounds of polling and reading that precede the timers after a stall. Without them,
+/// timeouts would fire for responses that arrived in the sockets during the stall.
 const READ_ROUNDS_AFTER_STALL: usize = 16;
 
-/// After so much work since the last poll (20 ms) timers wait for the next wake-up, and sockets are read again before anything is
-/// sent: a fifth of the 100 ms within which a peer that leaves expects nothing more to be done for it.
+/// When the last poll is longer ago than this (20 ms), the remaining timers wait for the next wake-up, and
+/// sockets are read again before anything is sent. It is a fifth of the 100 ms after which a peer that has
+/// left expects that nothing more is done for it.
 const MAX_TIME_SINCE_POLL: Time = 200;
 
-/// Sockets are read again so often at most before a wake-up ends, or input without end would hold back what is to be sent.
+/// Maximum number of times that sockets are read again before a wake-up ends, because endless input would
+/// otherwise delay output indefinitely.
 const MAX_READS_AGAIN: usize = 4;
 
-/// Runs the event loop until the app stops its net. What was written last is sent as far as the sockets accept it.
+/// Runs the event loop until the app calls [`Net::stop`](crate::Net::stop). Then sends the last output as far
+/// as the sockets accept it.
 ///
 /// # Errors
 /// The system's poll fails.
@@ -44,13 +48,13 @@
     Ok(())
 }
 
-/// Runs one wake-up: waits for readiness or the next timer, handles sockets first and timers after them, and then
-/// flushes what was written.
+/// Runs one wake-up: waits for readiness or the next timer, handles sockets, then timers, and then flushes
+/// what was written.
 ///
 /// # Errors
 /// The system's poll fails.
 pub fn turn<A: App<Net = Mio>>(app: &mut A) -> io::Result<()> {
-    // Before anything is read from them.
+    // The app must know of these connections before anything is read from them.
     while let Some(pending) = app.net().pending_accepts.pop_front() {
         app.accepted(pending.listener, pending.conn, pending.from);
     }
@@ -61,7 +65,7 @@
     let late_stall = poll_once(app, timeout)?;
     app.net().total_stall += busy_stall.max(late_stall);
     read_queued(app);
-    // The end of a stream behind what was just read is met before anything is sent.
+    // A second read finds the end of a stream that follows the bytes just read, before anything is sent.
     read_queued(app);
     if late_stall > 0 || busy_stall > 0 {
         for _ in 0..READ_ROUNDS_AFTER_STALL {
@@ -89,7 +93,8 @@
     }
 }
 
-/// What leaves at the end of a wake-up rests on what was read. Where that is some time ago the sockets are read again first.
+/// Reads the sockets again where the last poll is longer than [`MAX_TIME_SINCE_POLL`] ago, because what is
+/// sent at the end of a wake-up should be based on recent input.
 fn read_again<A: App<Net = Mio>>(app: &mut A) -> io::Result<()> {
     for _ in 0..MAX_READS_AGAIN {
         if app.net().time_since_poll() <= MAX_TIME_SINCE_POLL {
@@ -112,14 +117,14 @@
         self.clock.current() - self.polled_at
     }
 
-    /// Updates the clock at the start of a wake-up, and from it the delay of reads. Returns how long the last wake-up's
-    /// own work stalled the loop: 0 where it was short.
+    /// Updates the clock, and from it the delay of reads. Returns how long the work since the last update
+    /// stalled the event loop, or 0 where it was shorter than a stall.
     fn measure_last_wakeup(&mut self) -> Time {
         let previous = self.clock.now();
         self.clock.update();
         let busy = self.clock.now() - previous;
-        // What is read next may have arrived at any time during the last wake-up's work, or during the ones before it
-        // where not all sockets were read empty since.
+        // What is read next may have arrived at any time during that work, or during earlier work where not
+        // all sockets have been read until empty since.
         let earlier = if self.read_queue.is_empty() {
             0
         } else {
@@ -134,7 +139,8 @@
         }
     }
 
-    /// How long the poll may wait, None for until an event; sets when it is due to return.
+    /// How long the poll may wait, or `None` to wait for an event; also sets the time at which it is due to
+    /// return.
     fn poll_timeout(&mut self) -> Option<Duration> {
         let expiries = [
             self.app_timers.next_expiry(),
@@ -149,7 +155,8 @@
         Some(Duration::from_micros(wait * 100))
     }
 
-    /// Updates the clock after a poll. Returns how long the poll came back late, where that is a stall; 0 otherwise.
+    /// Updates the clock after a poll. Returns how much later than due the poll returned where that is a
+    /// stall, or 0.
     fn measure_poll(&mut self, had_timeout: bool) -> Time {
         self.clock.update();
         let now = self.clock.now();
@@ -170,8 +177,8 @@
     }
 }
 
-/// Polls for readiness and handles the events: accepts, receives datagrams, and queues connections for reads and
-/// flushes. Returns how long this process was stalled meanwhile.
+/// Polls for readiness and handles the events: accepts, receives datagrams, and queues connections for reads
+/// and flushes. Returns how long this process was stalled during the poll.
 fn poll_once<A: App<Net = Mio>>(app: &mut A, timeout: Option<Duration>) -> io::Result<Time> {
     let net = app.net();
     let mut events = net
@@ -183,7 +190,8 @@
         .as_ref()
         .is_err_and(|e| e.kind() == io::ErrorKind::Interrupted)
     {
-        // By a signal: what has arrived in the sockets by now still goes before the timers.
+        // A signal interrupted the poll. Input that has arrived meanwhile must still be handled before the
+        // timers.
         polled = net.poll.poll(&mut events, Some(Duration::ZERO));
     }
     polled?;
@@ -206,7 +214,7 @@
         Some(Slot::DatagramSocket(_)) => receive(app, index),
         Some(Slot::Connection(c)) => {
             let conn = Conn::new(index, c.generation);
-            // Errors and hang-ups show up in the read.
+            // The next read returns the error or the end of the stream.
             c.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
             if event.is_writable() || event.is_error() {
                 handle_writable(app, conn);
@@ -224,7 +232,8 @@
     }
 }
 
-/// Write readiness: completes an attempt to connect, and flushes the connection at the end of the wake-up.
+/// Handles write readiness: completes connecting, and queues the connection for the flush at the end of the
+/// wake-up.
 fn handle_writable<A: App<Net = Mio>>(app: &mut A, conn: Conn) {
     let net = app.net();
     let Some(c) = net.connection_mut(conn) else {
@@ -246,8 +255,8 @@
     app.net().queue_flush(conn);
 }
 
-/// Fires the timers that have expired by the time of this wake-up, internal ones first. Those that are left when it has lasted
-/// fire in the next one, which begins at once.
+/// Fires the timers that have expired by the time of this wake-up, internal ones first. When the last poll is
+/// longer than [`MAX_TIME_SINCE_POLL`] ago, the rest are left to the next wake-up, which begins at once.
 fn fire_timers<A: App<Net = Mio>>(app: &mut A) {
     let now = app.net().clock.now();
     while let Some(token) = app.net().internal_timers.pop(now) {
@@ -264,7 +273,8 @@
     }
 }
 
-/// A socket whose work was put off goes on: a datagram socket, or a listener, which may be being closed.
+/// Resumes the deferred work of a datagram socket or a listener; the listener may be one that is being
+/// closed.
 fn resume_socket<A: App<Net = Mio>>(app: &mut A, index: usize) {
     if matches!(app.net().slots.get(index), Some(Slot::DatagramSocket(_))) {
         receive(app, index);
@@ -273,7 +283,8 @@
     }
 }
 
-/// A connection's own timer expired: the end of its linger, of which the app hears nothing, or its connect timeout.
+/// Handles the expired timer of a connection: the end of its linger, of which the app is not notified, or its
+/// connect timeout.
 fn end_connect_or_linger<A: App<Net = Mio>>(app: &mut A, conn: Conn) {
     let net = app.net();
     let lingering = net
--- a/crates/tidewall-net/src/mio/reading.rs
+++ b/crates/tidewall-net/src/mio/reading.rs
@@ -1,13 +1,14 @@
-//! The read side of connections: queued reads, pausing, and the look before a close.
+//! The read side of connections: queued reads, pausing, and the check for unread input before a close.
 use super::connection::Connection;
 use super::Mio;
 use crate::buffer::READ_BUFFER_LIMIT;
 use crate::{App, CloseReason, Conn};
 use std::io::{self, Read};
 
-/// A connection with a raised read limit is read so often in a round, 1 MiB: a message of hundreds of kilobytes would otherwise
-/// take several wake-ups, and what it says be late by as much.
-const READS_OF_LONG_MESSAGES: usize = 16;
+/// Number of reads per round from a connection with a raised read limit, 1 MiB in all. With one read per
+/// round, a message of hundreds of kilobytes would take several wake-ups, and its content would be used that
+/// much later.
+const READS_WITH_RAISED_LIMIT: usize = 16;
 
 impl Mio {
     pub(super) fn pause_reading(&mut self, conn: Conn, paused: bool) {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Whether bytes have arrived that the app has not seen. Reads them where no readiness was reported yet.
+    /// Whether bytes have arrived that the app has not seen. Tries a read where none are buffered.
     pub(super) fn find_unread(&mut self, conn: Conn) -> bool {
         let mut chunk = std::mem::take(&mut self.read_chunk);
         let mut found = false;
@@ -33,7 +34,7 @@
         {
             found = c.read_queued && !c.read_buffer.is_empty();
             if !found {
-                // What arrived during this wake-up has had no readiness event: only a read shows it.
+                // Input that arrived during this wake-up has no readiness event yet: only a read finds it.
                 let mut read = c.socket.read(&mut chunk);
                 while read
                     .as_ref()
@@ -54,13 +55,17 @@
         found
     }
 
-    /// Reads into the connection's buffer: once, or some times more where its messages are long. Returns why the connection
-    /// ended, if a read shows that.
+    /// Reads into the connection's buffer: once, or [`READS_WITH_RAISED_LIMIT`] times where the connection
+    /// has a raised read limit. Returns the reason where a read shows that the connection has ended.
     fn fill_read_buffer(&mut self, conn: Conn, chunk: &mut [u8]) -> Option<CloseReason> {
-        let is_long = self
+        let has_raised_limit = self
             .connection(conn)
             .is_some_and(|c| c.read_limit > READ_BUFFER_LIMIT);
-        let reads = if is_long { READS_OF_LONG_MESSAGES } else { 1 };
+        let reads = if has_raised_limit {
+            READS_WITH_RAISED_LIMIT
+        } else {
+            1
+        };
         (0..reads).find_map(|_| self.read_once(conn, chunk))
     }
 
@@ -84,7 +89,7 @@
         None
     }
 
-    /// Discards the input of a lingering connection; at its end the connection is removed.
+    /// Discards the input of a lingering connection, and removes the connection at the end of the stream.
     fn discard_while_lingering(&mut self, conn: Conn, chunk: &mut [u8]) {
         let at_end = self
             .connection_mut(conn)
@@ -95,7 +100,7 @@
     }
 }
 
-/// Reads once from each connection that is queued now.
+/// Reads from each connection that is in the read queue at the call.
 pub(super) fn read_queued<A: App<Net = Mio>>(app: &mut A) {
     for _ in 0..app.net().read_queue.len() {
         let Some(conn) = app.net().read_queue.pop_front() else {
@@ -105,14 +110,14 @@
     }
 }
 
-/// Reads once from a connection, passes what has arrived to the app, and closes the connection where it ended.
+/// Reads from a connection, passes the read buffer to the app, and removes the connection where it has ended.
 fn read<A: App<Net = Mio>>(app: &mut A, conn: Conn) {
     let net = app.net();
     let mut ended = None;
     if let Some(c) = net.connection_mut(conn) {
         c.read_queued = false;
         let lingering = c.linger_timer.is_some();
-        if !lingering && !wants_read(c) {
+        if !lingering && !is_reading(c) {
             return;
         }
         let mut chunk = std::mem::take(&mut net.read_chunk);
@@ -138,11 +143,11 @@
     }
 }
 
-fn wants_read(c: &Connection) -> bool {
+fn is_reading(c: &Connection) -> bool {
     !c.closing && !c.read_paused && c.is_established()
 }
 
-/// Passes the read buffer to the app. True where the app leaves a full buffer.
+/// Passes the read buffer to the app. Returns true where the app leaves a full buffer.
 fn pass_to_app<A: App<Net = Mio>>(app: &mut A, conn: Conn) -> bool {
     let net = app.net();
     let Some(c) = net
@@ -151,7 +156,8 @@
     else {
         return false;
     };
-    // The buffer is out of the net while the app reads it, so that the app may act on the connection meanwhile.
+    // The buffer is moved out of the connection during the call, because the app may act on the connection
+    // meanwhile.
     let mut buffer = std::mem::take(&mut c.read_buffer);
     let pause_delay = c.pause_delay;
     net.pause_delay = pause_delay;
--- a/crates/tidewall-net/src/mio/slots.rs
+++ b/crates/tidewall-net/src/mio/slots.rs
@@ -1,5 +1,5 @@
-//! The slot table: sockets by the token of their registration, their generations, and the queues of connections that
-//! have work in this wake-up.
+//! The slot table: sockets by registration token, the generations of connections, and the queues of
+//! connections to read or flush in this wake-up.
 use super::connection::Connection;
 use super::Mio;
 use crate::{CloseReason, Conn, Listener, Time};
@@ -8,40 +8,42 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Marks the timer token of a listener or datagram socket. Generations have 31 bits, so no [`Conn`] has this bit.
+/// Marks the timer token of a listener or datagram socket. Generations have 31 bits, so that no [`Conn`] has
+/// this bit.
 const SOCKET_BIT: u64 = 1 << 63;
 
-/// Generations wrap at 31 bits; see [`SOCKET_BIT`].
+/// Generations wrap around at 31 bits; see [`SOCKET_BIT`].
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
-/// What a registration token stands for.
+/// What a registration token refers to.
 pub(super) enum Slot {
     Listener(TcpListener),
-    /// Boxed, as it is many times the size of the others.
+    /// Boxed, because a connection is many times larger than the other variants.
     Connection(Box<Connection>),
     DatagramSocket(UdpSocket),
-    /// An attempt to connect that failed at once, by its generation: holds the slot until the app is notified.
+    /// A connection that failed immediately, by its generation. It occupies the slot until the app has been
+    /// notified.
     FailedConnect(u32),
 }
 
-/// A connection that ended without an event of its socket.
+/// A connection that ended without an event of its socket, and of which the app must be notified.
 pub(super) struct PendingClose {
     pub(super) conn: Conn,
     pub(super) reason: CloseReason,
 }
 
-/// A connection that was accepted when its listener was closed.
+/// A connection that was accepted when its listener was closed, and of which the app must be notified.
 pub(super) struct PendingAccept {
     pub(super) listener: Listener,
     pub(super) conn: Conn,
     pub(super) from: SocketAddr,
 }
 
-/// What an internal timer is for.
+/// The purpose of an internal timer.
 pub(super) enum InternalTimer {
-    /// The connect timeout or the end of the linger of a connection.
+    /// The connect timeout of a connection, or the end of its linger.
     Connection(Conn),
-    /// Resumes accepting or receiving, by slot index.
+    /// Resumes accepting or receiving on the socket with this slot index.
     ResumeSocket(usize),
 }
 
@@ -65,7 +67,7 @@
 }
 
 impl Mio {
-    /// The connection, unless its slot has another user by now.
+    /// The connection, or `None` where it was removed, even if its slot is in use again.
     pub(super) fn connection(&self, conn: Conn) -> Option<&Connection> {
         match self.slots.get(conn.index()) {
             Some(Slot::Connection(c)) if c.generation == conn.generation() => Some(c),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Like [`Mio::connection`], to change it.
+    /// Like [`Mio::connection`], but mutable.
     pub(super) fn connection_mut(&mut self, conn: Conn) -> Option<&mut Connection> {
         match self.slots.get_mut(conn.index()) {
             Some(Slot::Connection(c)) if c.generation == conn.generation() => Some(c),
@@ -86,7 +88,7 @@
         self.last_generation
     }
 
-    /// Registers a socket: an accepted one, or one that must be established by `connect_deadline`.
+    /// Registers a stream socket: an accepted one, or one that must be connected by `connect_deadline`.
     pub(super) fn add_connection(
         &mut self,
         socket: TcpStream,
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Frees the slot of an attempt to connect that failed at once; its notification is dropped if still due.
+    /// Frees the slot of a connection that failed immediately, and drops its notification if that is still
+    /// pending.
     pub(super) fn remove_failed_connect(&mut self, conn: Conn) {
         let slot = self.slots.get(conn.index());
         if matches!(slot, Some(Slot::FailedConnect(generation)) if *generation == conn.generation())
@@ -134,7 +137,7 @@
         }
     }
 
-    /// The connection is read in this wake-up, or in the next one.
+    /// Queues the connection to be read in this wake-up or in the next one.
     pub(super) fn queue_read(&mut self, conn: Conn) {
         if let Some(c) = self.connection_mut(conn) {
             if !std::mem::replace(&mut c.read_queued, true) {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// The connection is flushed at the end of this wake-up.
+    /// Queues the connection to be flushed at the end of this wake-up.
     pub(super) fn queue_flush(&mut self, conn: Conn) {
         if let Some(c) = self.connection_mut(conn) {
             if !std::mem::replace(&mut c.flush_queued, true) {
--- a/crates/tidewall-net/src/mio/writing.rs
+++ b/crates/tidewall-net/src/mio/writing.rs
@@ -1,11 +1,11 @@
-//! The write side of connections: write buffers, flushed at the end of each wake-up.
+//! The write side of connections: write buffers, which are flushed at the end of each wake-up.
 use super::Mio;
 use crate::buffer::WRITE_BUFFER_LIMIT;
 use crate::{App, Conn};
 use std::io::{self, Write};
 
 impl Mio {
-    /// Appends to the write buffer, unless its limit would be passed.
+    /// Appends all bytes to the write buffer and returns true, or none where its limit would be exceeded.
     pub(super) fn queue_write(&mut self, conn: Conn, bytes: &[u8]) -> bool {
         let Some(c) = self.connection_mut(conn) else {
             return false;
@@ -22,7 +22,8 @@
         true
     }
 
-    /// Writes to the socket behind what is buffered, as far as it accepts, and returns how many bytes it accepted.
+    /// Writes to the socket after what is buffered, as much as the socket accepts, and returns how many of
+    /// the bytes it accepted.
     pub(super) fn write_directly(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let (intact, now) = (self.flush_connection(conn), self.clock.now());
         let Some(c) = self
@@ -37,7 +38,7 @@
                 Ok(count @ 1..) => written += count,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                // The read meets the end, after what the peer sent before it.
+                // A broken connection is handled by the read, after the input that precedes its end.
                 _ => {
                     c.readable = true;
                     break;
@@ -53,7 +54,8 @@
         written
     }
 
-    /// Writes the buffer as far as the socket accepts. False where the connection is broken.
+    /// Writes as much of the write buffer as the socket accepts. Returns false where the connection is
+    /// broken.
     #[must_use]
     fn flush_connection(&mut self, conn: Conn) -> bool {
         let now = self.clock.now();
@@ -79,16 +81,17 @@
     }
 }
 
-/// Flushes the connections that were written to.
+/// Flushes the connections in the flush queue.
 pub(super) fn flush_queued<A: App<Net = Mio>>(app: &mut A) {
-    // What `App::writable` writes is sent in the same wake-up; two rounds at most, so that no app holds the loop.
+    // A second round sends what `App::writable` wrote. There are no more rounds, so that no app can block the
+    // loop.
     for _ in 0..2 {
         let mut queue = std::mem::take(&mut app.net().flush_queue);
         for conn in queue.drain(..) {
             flush(app, conn);
         }
         if app.net().flush_queue.is_empty() {
-            // Keeps the queue's allocation.
+            // Keeps the allocation of the queue.
             app.net().flush_queue = queue;
             return;
         }
@@ -106,14 +109,14 @@
     };
     let (closing, empty) = (c.closing, c.write_buffer.is_empty());
     if !intact && !closing {
-        // What the peer sent before the connection broke is read first; the read then meets the end.
+        // What the peer sent before the connection broke is read first; that read also finds the end.
         c.discard_unsent();
         c.readable = true;
         net.queue_read(conn);
     } else if c.aborted {
-        // Removed when the app is notified of the abort.
+        // The connection is removed when the app is notified of the abort.
     } else if !intact || closing && empty {
-        if !intact || !net.wrote_recently(conn) || net.shut_down_or_done(conn) {
+        if !intact || !net.wrote_recently(conn) || net.shut_down_write(conn) {
             net.remove_connection(conn);
         }
     } else if empty && std::mem::take(&mut c.writable_pending) {
--- a/crates/tidewall-net/src/wheel.rs
+++ b/crates/tidewall-net/src/wheel.rs
@@ -1,22 +1,24 @@
-//! A hierarchical timer wheel with a resolution of a tenth of a millisecond. Insert, cancel and look-up of the next
-//! expiry take constant time: a timer moves to a lower level at most ten times. Measured in `benches/wheel.rs`.
+//! A hierarchical timer wheel with a resolution of a tenth of a millisecond. Inserting, cancelling and
+//! finding the next expiry take constant time: a timer moves to a lower level at most ten times.
+//! `benches/wheel.rs` measures it.
 //!
-//! Timers live in a slab (`entries`); each slot of the wheel is a doubly linked list through it, and the free entries
-//! are a singly linked list.
+//! Timers live in a slab (`entries`); each slot of the wheel is a doubly linked list through it, and the free
+//! entries are a singly linked list.
 use crate::Time;
 
-/// Index that ends a list.
+/// Index that marks the end of a list.
 const NONE: u32 = u32::MAX;
 
-/// Each level stands for six bits of the expiry: 64 slots, so that one word is the bitmap of a level's occupied slots.
+/// Bits of the expiry that each level covers. Six bits give 64 slots, so that one word holds the bitmap of a
+/// level's occupied slots.
 const LEVEL_BITS: u32 = 6;
-/// Slots of a level.
+/// Number of slots in a level.
 const SLOTS: usize = 1 << LEVEL_BITS;
-/// Eleven levels of six bits cover every `u64`.
+/// Number of levels: eleven levels of six bits cover every `u64`.
 const LEVELS: usize = 11;
 
-/// Identifies one timer. After the timer has fired or was cancelled the identifier is stale and never matches the
-/// timer that reuses its entry.
+/// Identifies a timer. Once the timer has fired or was cancelled, the identifier is stale and does not match
+/// a timer that reuses its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId {
     index: u32,
@@ -29,20 +31,20 @@
     expires_at: Time,
     token: u64,
     previous: u32,
-    /// Next timer of the slot, or next free entry.
+    /// Next timer in the slot, or next free entry.
     next: u32,
-    /// Grows each time the entry is freed.
+    /// Incremented each time the entry is freed.
     generation: u32,
-    /// Level times slots plus slot, or NONE where the entry is free.
+    /// `level * SLOTS + slot_in_level`, or `NONE` where the entry is free.
     slot: u32,
 }
 
 /// The timer wheel. Times are whole tenths of a millisecond on the caller's clock.
 pub struct Wheel {
     now: Time,
-    /// For each level a bitmap of its slots that hold timers.
+    /// For each level, a bitmap of the slots that hold timers.
     occupied: [u64; LEVELS],
-    /// First and last timer of each slot, by level times slots plus slot.
+    /// First and last timer of each slot, indexed by `level * SLOTS + slot_in_level`.
     heads: Vec<u32>,
     tails: Vec<u32>,
     entries: Vec<Entry>,
@@ -57,7 +59,7 @@
 }
 
 impl Wheel {
-    /// An empty wheel whose time is `now`.
+    /// Creates an empty wheel whose time is `now`.
     pub fn new(now: Time) -> Wheel {
         let empty_lists = vec![NONE; LEVELS * SLOTS];
         Wheel {
@@ -81,7 +83,8 @@
         self.len == 0
     }
 
-    /// Adds a timer that expires at `expires_at`, at once where that has passed; [`Wheel::pop`] returns its token.
+    /// Adds a timer that expires at `expires_at`, or at once where that time has passed. [`Wheel::pop`]
+    /// returns its token.
     pub fn insert(&mut self, expires_at: Time, token: u64) -> TimerId {
         let index = if self.first_free == NONE {
             self.entries.push(Entry {
@@ -106,7 +109,7 @@
         TimerId { index, generation }
     }
 
-    /// Removes a pending timer. False where it has fired or was cancelled already.
+    /// Removes a pending timer. Returns false where it has fired or was already cancelled.
     pub fn cancel(&mut self, timer: TimerId) -> bool {
         let entry = self.entries.get(timer.index as usize);
         if entry.is_none_or(|e| e.generation != timer.generation || e.slot == NONE) {
@@ -117,15 +120,16 @@
         true
     }
 
-    /// A lower bound of the next expiry, or None without timers. Where the next timer is far off this is the start of
-    /// its slot: a call at that time returns a closer bound.
+    /// A lower bound of the next expiry, or `None` without timers. For a timer on a higher level this is the
+    /// start of its slot; once [`Wheel::pop`] has advanced the wheel to that time, the bound is closer.
     pub fn next_expiry(&self) -> Option<Time> {
         let level = self.occupied.iter().position(|bitmap| *bitmap != 0)?;
         Some(self.slot_start(level, self.occupied[level].trailing_zeros()))
     }
 
-    /// Advances the wheel to `now` at most and removes one timer that has expired by then: the earliest slot first,
-    /// in order of insertion within a slot. Returns its token, or None when no timer has expired.
+    /// Removes one timer that has expired by `now` and returns its token: from the earliest slot, and within
+    /// a slot in order of insertion. Advances the wheel to that slot, or to `now` and returns `None` where no
+    /// timer has expired.
     pub fn pop(&mut self, now: Time) -> Option<u64> {
         while let Some(level) = self.occupied.iter().position(|bitmap| *bitmap != 0) {
             let slot = self.occupied[level].trailing_zeros();
@@ -147,7 +151,8 @@
         None
     }
 
-    /// Moves the timers of a slot that has begun, from its first one on, to lower levels.
+    /// Moves the timers of a slot whose start has been reached to lower levels, beginning with the slot's
+    /// first entry.
     fn cascade(&mut self, head: u32) {
         let mut index = head;
         while index != NONE {
@@ -158,7 +163,8 @@
         }
     }
 
-    /// When the slot begins, among the times that share the bits above its level with `now`; `now` where it has begun.
+    /// The time at which the slot begins, with the bits above its level taken from `now`; `now` where it has
+    /// begun.
     fn slot_start(&self, level: usize, slot: u32) -> Time {
         let shift = LEVEL_BITS * level as u32;
         let above = shift + LEVEL_BITS;
@@ -170,9 +176,9 @@
         (upper | Time::from(slot) << shift).max(self.now)
     }
 
-    /// Appends an entry to the slot of its expiry.
+    /// Appends an entry to the list of the slot for its expiry.
     fn link(&mut self, index: u32) {
-        // A time that has passed expires now.
+        // A timer whose time has passed expires at the wheel's time.
         let expires_at = self.entries[index as usize].expires_at.max(self.now);
         let differing_bits = (expires_at ^ self.now) | (SLOTS as u64 - 1);
         let level = ((63 - differing_bits.leading_zeros()) / LEVEL_BITS) as usize;
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Puts an unlinked entry on the free list; its identifiers are stale from now on.
+    /// Puts an unlinked entry on the free list, which makes its identifiers stale.
     fn free(&mut self, index: u32) {
         let entry = &mut self.entries[index as usize];
         entry.generation = entry.generation.wrapping_add(1);
--- a/crates/tidewall-net/tests/nets.rs
+++ b/crates/tidewall-net/tests/nets.rs
@@ -1,5 +1,5 @@
-//! The same small app on both implementations of `Net`: bytes arrive complete and in order, buffers are bounded, and a
-//! connection ends once.
+//! The same small app on both implementations of `Net`: bytes arrive complete and in order, buffers are
+//! bounded, and the end of a connection is reported once.
 #![allow(clippy::unwrap_used, missing_docs)]
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     echo: bool,
     bytes_to_send: usize,
     stop_after: usize,
-    /// The connection accepted last.
+    /// The connection that was accepted last.
     conn: Option<Conn>,
 }
 
@@ -43,14 +43,14 @@
     }
     fn connected(&mut self, conn: Conn) {
         self.events.borrow_mut().connected += 1;
-        let piece = [7u8; 4096];
+        let block = [7u8; 4096];
         while self.events.borrow().sent < self.bytes_to_send {
-            if !self.net.write(conn, &piece) {
+            if !self.net.write(conn, &block) {
                 self.events.borrow_mut().write_rejected = true;
-                assert!(self.net.unsent(conn) + piece.len() > WRITE_BUFFER_LIMIT);
+                assert!(self.net.unsent(conn) + block.len() > WRITE_BUFFER_LIMIT);
                 break;
             }
-            self.events.borrow_mut().sent += piece.len();
+            self.events.borrow_mut().sent += block.len();
         }
     }
     fn received(&mut self, conn: Conn, bytes: &[u8]) -> usize {
@@ -66,8 +66,8 @@
     fn writable(&mut self, _: Conn) {
         self.events.borrow_mut().became_writable = true;
     }
-    fn closed(&mut self, _: Conn, why: CloseReason) {
-        self.events.borrow_mut().closed.push(why);
+    fn closed(&mut self, _: Conn, reason: CloseReason) {
+        self.events.borrow_mut().closed.push(reason);
         if self.stop_after > 0 {
             self.net.stop();
         }
@@ -108,13 +108,16 @@
 #[test_case(1, 12_288 ; "one byte at a time")]
 #[test_case(0, 12_288 ; "in one segment")]
 #[test_case(0, 8 << 20 ; "more than the write buffer holds")]
-fn in_memory_bytes_arrive_complete_and_the_write_buffer_is_bounded(piece: usize, size: usize) {
+fn in_memory_bytes_arrive_complete_and_the_write_buffer_is_bounded(
+    max_segment_size: usize,
+    size: usize,
+) {
     let world = memory::world();
-    world.borrow_mut().piece = piece;
+    world.borrow_mut().piece = max_segment_size;
     let (mut a, _) = peer(Memory::join(&world), true, 0, 0);
     let (mut b, events) = peer(Memory::join(&world), false, size, 0);
-    let (_, at) = a.net.listen(any_local_port()).unwrap();
-    b.net.connect(at, 1000);
+    let (_, address) = a.net.listen(any_local_port()).unwrap();
+    b.net.connect(address, 1000);
     memory::run(&world, &mut [&mut a, &mut b], 100_000);
     let events = events.borrow();
     assert_eq!(events.received.len(), events.sent);
@@ -129,11 +132,11 @@
     let world = memory::world();
     let (mut a, _) = peer(Memory::join(&world), true, 0, 0);
     let (mut b, events) = peer(Memory::join(&world), false, 4096, 0);
-    let (_, at) = a.net.listen(any_local_port()).unwrap();
-    b.net.connect(at, 1000);
+    let (_, address) = a.net.listen(any_local_port()).unwrap();
+    b.net.connect(address, 1000);
     memory::run(&world, &mut [&mut a, &mut b], 100);
     a.net.kill();
-    b.net.connect(at, 1000);
+    b.net.connect(address, 1000);
     memory::run(&world, &mut [&mut a, &mut b], 2_000);
     assert_eq!(
         events.borrow().closed,
@@ -146,9 +149,9 @@
     let world = memory::world();
     let (mut a, events) = peer(Memory::join(&world), false, 0, 0);
     let (mut b, _) = peer(Memory::join(&world), false, 4096, 0);
-    let (_, at) = a.net.listen(any_local_port()).unwrap();
+    let (_, address) = a.net.listen(any_local_port()).unwrap();
     a.net.still(true);
-    b.net.connect(at, 50_000);
+    b.net.connect(address, 50_000);
     memory::run(&world, &mut [&mut a, &mut b], 10_001);
     assert!(events.borrow().received.is_empty());
     a.net.still(false);
@@ -185,8 +188,8 @@
 #[test]
 fn on_sockets_a_closed_listener_refuses_and_datagrams_and_timers_arrive() {
     let (mut a, events) = peer(Mio::new().unwrap(), false, 0, 0);
-    let (socket, at) = a.net.bind_datagram(any_local_port()).unwrap();
-    a.net.send_datagram(socket, at, b"to myself");
+    let (socket, address) = a.net.bind_datagram(any_local_port()).unwrap();
+    a.net.send_datagram(socket, address, b"to myself");
     let (listener, closed_address) = a.net.listen(any_local_port()).unwrap();
     a.net.stop_listening(listener);
     a.net.connect(closed_address, 10_000);
@@ -201,13 +204,14 @@
     assert_eq!(events.datagrams, [b"to myself"]);
 }
 
-/// Readiness is edge-triggered: reading stopped at 64 datagrams, and the others waited for another one to arrive.
+/// Guards against datagrams left unread: a wake-up receives at most 64, and edge-triggered readiness is not
+/// reported again until another datagram arrives.
 #[test]
 fn on_sockets_datagrams_beyond_the_bound_of_a_wakeup_are_received() {
     let (mut peer, events) = peer(Mio::new().unwrap(), false, 0, 0);
-    let (_, at) = peer.net.bind_datagram(any_local_port()).unwrap();
+    let (_, address) = peer.net.bind_datagram(any_local_port()).unwrap();
     let from = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    (0..200u8).for_each(|i| assert_eq!(from.send_to(&[i], at).unwrap(), 1));
+    (0..200u8).for_each(|i| assert_eq!(from.send_to(&[i], address).unwrap(), 1));
     for _ in 0..20 {
         let soon = peer.net.now() + 50;
         let timer = peer.net.set_timer(soon, 9);
@@ -217,13 +221,14 @@
     assert_eq!(events.borrow().datagrams.len(), 200);
 }
 
-/// Connections beyond the bound of a wake-up were accepted in the same one: a flood held the loop until it ended.
+/// Guards against a flood of connections that blocks the event loop: those beyond the bound of a wake-up must
+/// not be accepted in the same one.
 #[test]
-fn a_flood_of_connections_does_not_hold_the_loop() {
+fn a_flood_of_connections_does_not_block_the_loop() {
     let (mut peer, events) = peer(Mio::new().unwrap(), false, 0, 0);
-    let (_, at) = peer.net.listen(any_local_port()).unwrap();
+    let (_, address) = peer.net.listen(any_local_port()).unwrap();
     let flood: Vec<_> = (0..100)
-        .map(|_| std::net::TcpStream::connect(at).unwrap())
+        .map(|_| std::net::TcpStream::connect(address).unwrap())
         .collect();
     let mut wakeups = 0;
     while events.borrow().accepted < flood.len() {
@@ -241,16 +246,16 @@
     }
 }
 
-/// The connection was in the backlog, with bytes received, when the listener closed: it is accepted and read.
+/// A connection that is in the backlog, with bytes received, when its listener closes is accepted and read.
 #[test]
 fn on_sockets_the_backlog_is_accepted_when_its_listener_closes() {
     let (mut server, events) = peer(Mio::new().unwrap(), false, 0, 0);
-    let (listener, at) = server.net.listen(any_local_port()).unwrap();
-    let mut client = std::net::TcpStream::connect(at).unwrap();
+    let (listener, address) = server.net.listen(any_local_port()).unwrap();
+    let mut client = std::net::TcpStream::connect(address).unwrap();
     std::io::Write::write_all(&mut client, b"request").unwrap();
     server.net.stop_listening(listener);
     assert!(
-        std::net::TcpStream::connect(at).is_err(),
+        std::net::TcpStream::connect(address).is_err(),
         "the listener is closed"
     );
     for _ in 0..20 {
@@ -265,20 +270,20 @@
     );
 }
 
-/// Bytes that arrived without a readiness event yet are found and passed to the app; what the app left of them is not
-/// unread.
+/// Bytes that arrived but have no readiness event yet are found and passed to the app. Bytes that the app has
+/// seen do not count as unread.
 #[test]
 fn on_sockets_unread_bytes_are_found_before_a_close() {
     let (mut server, events) = peer(Mio::new().unwrap(), false, 0, 0);
-    let (_, at) = server.net.listen(any_local_port()).unwrap();
-    let mut client = std::net::TcpStream::connect(at).unwrap();
+    let (_, address) = server.net.listen(any_local_port()).unwrap();
+    let mut client = std::net::TcpStream::connect(address).unwrap();
     while events.borrow().accepted == 0 {
         tidewall_net::mio::turn(&mut server).unwrap();
     }
     let conn = server.conn.expect("a connection was accepted");
     assert!(!server.net.has_unread(conn));
     std::io::Write::write_all(&mut client, b"request").unwrap();
-    // Loopback needs a moment.
+    // Delivery over the loopback interface is not immediate.
     std::thread::sleep(std::time::Duration::from_millis(50));
     assert!(server.net.has_unread(conn) && server.net.has_unread(conn));
     while events.borrow().received.is_empty() {
--- a/crates/tidewall-net/tests/paths.rs
+++ b/crates/tidewall-net/tests/paths.rs
@@ -1,4 +1,5 @@
-//! Paths between simulated nodes: latency, loss, partitions; skewed clocks, moving addresses, restarts.
+//! The simulated network: latency, loss, duplication and partitions of paths, skewed clocks, moved addresses,
+//! restarts.
 #![allow(clippy::unwrap_used, missing_docs)]
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -32,8 +33,8 @@
         bytes.len()
     }
     fn writable(&mut self, _: Conn) {}
-    fn closed(&mut self, _: Conn, why: CloseReason) {
-        self.closed.push(why);
+    fn closed(&mut self, _: Conn, reason: CloseReason) {
+        self.closed.push(reason);
     }
     fn datagram_received(&mut self, _: DatagramSocket, _: SocketAddr, bytes: &[u8]) {
         self.datagrams.push(bytes[0]);
@@ -47,7 +48,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Node a listens, node b is connected to it, and both have a datagram socket.
+/// Node `a` listens, node `b` is connected to it, and each has a datagram socket.
 fn connected_nodes() -> (Rc<RefCell<World>>, Node, Node, [DatagramSocket; 2]) {
     let world = memory::world();
     world.borrow_mut().seed(7);
@@ -105,7 +106,11 @@
     world.borrow_mut().path(&b.net, &a.net, default_path);
     write(&mut b, b" still");
     memory::run(&world, &mut [&mut a, &mut b], 600);
-    let all: Vec<u8> = a.received.iter().flat_map(|g| g.1.clone()).collect();
+    let all: Vec<u8> = a
+        .received
+        .iter()
+        .flat_map(|segment| segment.1.clone())
+        .collect();
     assert_eq!(
         (all.as_slice(), a.datagrams.len(), a.closed.len()),
         (&b"later still"[..], 0, 0)
@@ -128,20 +133,24 @@
         memory::run(&world, &mut [&mut a, &mut b], until);
     }
     memory::run(&world, &mut [&mut a, &mut b], 20_000);
-    let all: Vec<u8> = a.received.iter().flat_map(|g| g.1.clone()).collect();
+    let all: Vec<u8> = a
+        .received
+        .iter()
+        .flat_map(|segment| segment.1.clone())
+        .collect();
     assert_eq!(all, (0..100).collect::<Vec<u8>>());
-    assert!(a.received.iter().all(|g| g.0 >= 150));
+    assert!(a.received.iter().all(|segment| segment.0 >= 150));
 }
 
 #[test_case(Path { delay: 2, lost: 400, ..Path::default() }, 100, 160 ; "lost")]
 #[test_case(Path { delay: 2, twice: 500, ..Path::default() }, 260, 340 ; "duplicated")]
-fn datagrams_are_lost_or_duplicated(path: Path, least: usize, most: usize) {
+fn datagrams_are_lost_or_duplicated(path: Path, min: usize, max: usize) {
     let (world, mut a, mut b, sockets) = connected_nodes();
     world.borrow_mut().path(&b.net, &a.net, path);
     (0..200u8).for_each(|i| b.net.send_datagram(sockets[1], local(900), &[i]));
     memory::run(&world, &mut [&mut a, &mut b], 1_000);
     assert!(
-        (least..=most).contains(&a.datagrams.len()),
+        (min..=max).contains(&a.datagrams.len()),
         "{}",
         a.datagrams.len()
     );
@@ -166,13 +175,13 @@
 
 #[test_case(200, 100_020 ; "fast")]
 #[test_case(-200, 99_980 ; "slow")]
-fn timers_follow_the_skewed_clock_of_their_node(skew_ppm: i64, shown: Time) {
+fn timers_follow_the_skewed_clock_of_their_node(skew_ppm: i64, expected_now: Time) {
     let (world, mut a, mut b, _) = connected_nodes();
     a.net.clock(skew_ppm);
     a.net.set_timer(50_000, 1);
     memory::run(&world, &mut [&mut a, &mut b], 100_000);
-    assert_eq!(a.net.now(), shown);
-    // Not before its time by the node's own clock.
+    assert_eq!(a.net.now(), expected_now);
+    // The timer does not fire early by the node's own clock.
     assert!((50_000..50_002).contains(&a.timers[0]));
 }
 
--- a/crates/tidewall-net/tests/wheel.rs
+++ b/crates/tidewall-net/tests/wheel.rs
@@ -1,4 +1,4 @@
-//! The timer wheel against a sorted map, with seeded sequences of inserts, cancels and pops.
+//! Compares the timer wheel with a sorted map, over seeded random sequences of inserts, cancels and pops.
 #![allow(clippy::unwrap_used, missing_docs)]
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
