--- a/crates/tidewall-wire/src/error.rs
+++ b/crates/tidewall-wire/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a frame is rejected. Each message names the field at fault, by its name in `docs/wire.md`; messages are sent to
-//! peers in error frames, so their wording is part of the protocol's bytes.
+//! Why a frame is rejected. Each message names the offending field, by its name in `docs/wire.md`. Messages
+//! are sent to peers in error frames, so their wording is part of the wire format.
 use crate::{Field, MAX_BODY_LENGTH, VERSION};
 use minicbor::data::Type;
 use minicbor::decode;
 use thiserror::Error;
 
-/// A malformed frame, or a value that its receiver does not accept. The connection that it arrived on is closed with
-/// this text.
+/// A malformed frame, or a value that its receiver does not accept. The receiver sends the message in an
+/// error frame and closes the connection.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The length prefix is over [`MAX_BODY_LENGTH`].
+    /// The length prefix exceeds [`MAX_BODY_LENGTH`].
     #[error("field length: {length} bytes are over {MAX_BODY_LENGTH}")]
     FrameTooLong {
-        /// Bytes that the prefix announces.
+        /// Length of the body in bytes, as the prefix states it.
         length: usize,
     },
-    /// The body does not end with its CBOR map.
+    /// The body continues after its CBOR map.
     #[error("field length: bytes follow the frame's map")]
     TrailingBytes,
     /// A datagram or file ends before its frame does.
@@ -27,7 +27,7 @@
     /// A CBOR map of indefinite length.
     #[error("field kind: maps of unknown length are not taken")]
     IndefiniteMap,
-    /// A map key is not an unsigned number.
+    /// A key of the CBOR map is not an unsigned integer.
     #[error("field number: {0}")]
     FieldNumber(#[source] decode::Error),
     /// The value of a field with an unknown number cannot be skipped.
@@ -52,7 +52,7 @@
         /// The field's name.
         field: &'static str,
     },
-    /// A CBOR type that no field has.
+    /// A value has a CBOR type that no field has.
     #[error("field {field}: a value of type {found} is not taken")]
     UnsupportedType {
         /// The field's name.
@@ -60,21 +60,21 @@
         /// The CBOR type that was found.
         found: Type,
     },
-    /// A field that this kind of frame needs is absent or empty.
+    /// A field that this kind of frame requires is absent or empty.
     #[error("field {field} is missing")]
     Missing {
         /// The field's name.
         field: &'static str,
     },
-    /// A field has another type than this frame needs.
+    /// A field has another type than this kind of frame requires.
     #[error("field {field} is no {expected}")]
     WrongType {
         /// The field's name.
         field: &'static str,
-        /// The type that is needed.
+        /// The required type.
         expected: &'static str,
     },
-    /// A number is over its bound.
+    /// A number exceeds its upper limit.
     #[error("field {field}: {value} is over {limit}")]
     OverLimit {
         /// The field's name.
@@ -84,7 +84,7 @@
         /// The largest value that is accepted.
         limit: u64,
     },
-    /// A real number is negative, too large or not finite.
+    /// A floating-point number is negative, too large or not finite.
     #[error("field {field}: {value} is out of range")]
     OutOfRange {
         /// The field's name.
@@ -92,7 +92,7 @@
         /// The value that was found.
         value: f64,
     },
-    /// An entry of a list is rejected.
+    /// An entry of the list of entries is rejected.
     #[error("field entries[{index}]: {source}")]
     Entry {
         /// The entry's index in the list, from 0.
@@ -103,24 +103,25 @@
     /// The first frame of a connection is not a hello.
     #[error("field kind: the first frame must be a hello")]
     NoGreeting,
-    /// The peer speaks another version of the protocol.
+    /// The peer uses another version of the protocol.
     #[error("field version: {version} is not spoken here, {VERSION} is")]
     Version {
         /// The peer's version.
         version: u64,
     },
-    /// A well-formed value that its receiver does not accept.
+    /// A well-formed value is not acceptable to its receiver.
     #[error("field {field}: {reason}")]
     Invalid {
         /// The field's name.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         reason: String,
     },
 }
 
 impl WireError {
-    /// A well-formed value of `field` that its receiver does not accept, and why.
+    /// Creates the error for a well-formed value of `field` that its receiver does not accept, for the given
+    /// reason.
     pub fn invalid(field: Field, reason: impl Into<String>) -> WireError {
         WireError::Invalid {
             field: field.name(),
@@ -128,14 +129,14 @@
         }
     }
 
-    /// A needed field is absent or empty.
+    /// Creates the error for a required field that is absent or empty.
     pub(crate) fn missing(field: Field) -> WireError {
         WireError::Missing {
             field: field.name(),
         }
     }
 
-    /// A field has another type than `expected`.
+    /// Creates the error for a field of another type than `expected`.
     pub(crate) fn wrong_type(field: Field, expected: &'static str) -> WireError {
         WireError::WrongType {
             field: field.name(),
@@ -144,14 +145,14 @@
     }
 }
 
-/// Equal where their messages are: decoding errors of the CBOR library cannot be compared otherwise.
+/// Errors are equal if their messages are, because decoding errors of the CBOR library have no equality.
 impl PartialEq for WireError {
     fn eq(&self, other: &WireError) -> bool {
         self.to_string() == other.to_string()
     }
 }
 
-/// For callers that only pass the message on.
+/// The message alone, for callers that only forward it.
 impl From<WireError> for String {
     fn from(error: WireError) -> String {
         error.to_string()
--- a/crates/tidewall-wire/src/greeting.rs
+++ b/crates/tidewall-wire/src/greeting.rs
@@ -1,11 +1,11 @@
-//! The frames around a conversation: hello, the first of each side, and the error frame, the last before a connection
-//! is closed by its writer.
+//! The frames at both ends of a connection's life: hello, the first frame from each side, and the error
+//! frame, the last one from a side before it closes the connection.
 use crate::{kind, Field, Fields, Frame, WireError};
 
-/// Version of the protocol, stated in each hello. A peer of another version is rejected.
+/// Version of the protocol, stated in each hello. A peer with another version is rejected.
 pub const VERSION: u64 = 1;
 
-/// Writes an error frame: why its writer closes the connection right after it.
+/// Writes an error frame: the reason for which its sender closes the connection directly afterwards.
 pub fn error(out: &mut Vec<u8>, reason: &str) {
     Frame::new(out, kind::ERROR)
         .text(Field::Reason, reason)
@@ -22,11 +22,11 @@
         .end();
 }
 
-/// Checks a connection's first frame and returns the peer's role.
+/// Checks the first frame of a connection and returns the peer's role.
 ///
 /// # Errors
-/// It is no hello ([`WireError::NoGreeting`]), is of another version ([`WireError::Version`]), or has no kind, version
-/// or role.
+/// The frame is not a hello ([`WireError::NoGreeting`]), has another version ([`WireError::Version`]), or
+/// lacks its kind, version or role.
 pub fn greeted<'a>(fields: &Fields<'a>) -> Result<&'a str, WireError> {
     if fields.kind()? != kind::HELLO {
         return Err(WireError::NoGreeting);
--- a/crates/tidewall-wire/src/lib.rs
+++ b/crates/tidewall-wire/src/lib.rs
@@ -1,17 +1,18 @@
-//! The frames of the native protocol between clients, gateways, workers, the discovery server and the artifact store,
-//! as `docs/wire.md` specifies them: a length prefix of four bytes, then a CBOR map (RFC 8949) from field numbers to
-//! values.
+//! The frames of the native protocol between clients, gateways, workers, the discovery server and the
+//! artifact store, as `docs/wire.md` specifies them: a length prefix of four bytes, then a CBOR map (RFC
+//! 8949) from field numbers to values.
 //!
-//! There is no type for each kind of frame: [`Frame`] writes one field after the other, and [`Fields`] gives each to
-//! whoever asks for it. Times and durations are whole tenths of a millisecond.
+//! There is no separate type for each kind of frame: [`Frame`] writes one field after the other, and
+//! [`Fields`] gives access to each field of a received frame. Times and durations are whole tenths of a
+//! millisecond.
 //!
-//! | Module | Concern |
+//! | Module | Contents |
 //! |---|---|
 //! | [`kind`] | the numbers of the frame kinds |
 //! | `field` | the numbers and names of the fields |
-//! | `prefix` | finding a frame in received bytes by its length prefix |
-//! | `reader`, `writer` | the CBOR map |
-//! | `greeting` | the first frame of a connection, and the error frame that may be the last |
+//! | `prefix` | delimiting frames in received bytes by their length prefix |
+//! | `reader`, `writer` | decoding and encoding the CBOR map |
+//! | `greeting` | the first frame of a connection, and the error frame, which may be the last one |
 //! | `error` | why a frame is rejected |
 mod error;
 mod field;
--- a/crates/tidewall-wire/src/prefix.rs
+++ b/crates/tidewall-wire/src/prefix.rs
@@ -1,18 +1,19 @@
-//! The length prefix: where a frame begins and ends in a stream.
+//! The length prefix, which delimits the frames of a stream.
 use crate::WireError;
 
-/// Longest body of a frame in bytes, the length prefix not counted: a payload of somewhat less than a megabyte with the
-/// fields that go with it.
+/// Maximum length of a frame's body in bytes, without the length prefix: room for a payload of slightly less
+/// than 1 MiB and the other fields of its frame.
 pub const MAX_BODY_LENGTH: usize = 1 << 20;
 
-/// Bytes of the length prefix, an unsigned number in network byte order.
+/// Length of the length prefix in bytes. The prefix is an unsigned integer in network byte order.
 pub(crate) const PREFIX_LENGTH: usize = 4;
 
-/// Looks for a frame at the start of received bytes. Returns its body and the length of the frame with its prefix, or
-/// None while it is incomplete.
+/// Finds the frame at the start of received bytes. Returns its body and the length of the frame including its
+/// prefix, or `None` while the frame is incomplete.
 ///
 /// # Errors
-/// [`WireError::FrameTooLong`], as soon as the prefix is complete: the body of such a frame need not be buffered.
+/// [`WireError::FrameTooLong`], as soon as the prefix is complete, so that the body of such a frame is never
+/// buffered.
 pub fn frame(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, WireError> {
     let Some(prefix) = bytes.first_chunk::<PREFIX_LENGTH>() else {
         return Ok(None);
--- a/crates/tidewall-wire/src/reader.rs
+++ b/crates/tidewall-wire/src/reader.rs
@@ -1,16 +1,16 @@
-//! Reading the CBOR map of a frame.
+//! Decodes the CBOR map of a frame.
 use crate::{Field, Value, WireError, FIELD_COUNT};
 use minicbor::data::Type;
 use minicbor::decode;
 use minicbor::Decoder;
 
-/// Exclusive upper bound of real numbers, far above what is measured in them (MB, requests, shares); whole numbers
-/// below it are exact in double precision, whose limit is 2^53.
+/// Exclusive upper bound of floating-point numbers, far above the quantities that they express (MB, requests,
+/// shares). Whole numbers below it are exact in double precision, whose limit is 2^53.
 const REAL_LIMIT: f64 = 1e15;
 
-/// The fields of one frame, or of one entry of a list. Texts and bytes are borrowed from the body.
+/// The decoded fields of a frame, or of an entry of a list. Texts and bytes are borrowed from the body.
 pub struct Fields<'a> {
-    /// By field number.
+    /// Indexed by field number.
     values: [Option<Value<'a>>; FIELD_COUNT],
 }
 
@@ -18,8 +18,8 @@
     /// Decodes the body of a frame.
     ///
     /// # Errors
-    /// The body is not one CBOR map of definite length, a field occurs twice, or a known field has a value that cannot
-    /// be decoded or whose type no field has.
+    /// The body is not exactly one CBOR map of definite length, a field occurs twice, or the value of a known
+    /// field cannot be decoded or has a type that no field has.
     pub fn read(body: &'a [u8]) -> Result<Fields<'a>, WireError> {
         let mut decoder = Decoder::new(body);
         let fields = Fields::decode_map(&mut decoder)?;
@@ -29,7 +29,7 @@
         Ok(fields)
     }
 
-    /// Decodes one map. Unknown field numbers are skipped, so that later versions may add some.
+    /// Decodes one map. Fields with unknown numbers are skipped, so that later versions can add fields.
     fn decode_map(decoder: &mut Decoder<'a>) -> Result<Fields<'a>, WireError> {
         let mut values = [None; FIELD_COUNT];
         let Some(len) = decoder.map().map_err(WireError::NotAMap)? else {
@@ -57,12 +57,12 @@
         self.values[field as usize]
     }
 
-    /// Whether the frame has the field.
+    /// Whether the field is present.
     pub fn has(&self, field: Field) -> bool {
         self.get(field).is_some()
     }
 
-    /// The kind of the frame, one of [`kind`](crate::kind)'s numbers or an unknown one.
+    /// The kind of the frame: one of the numbers in [`kind`](crate::kind), or an unknown one.
     ///
     /// # Errors
     /// The kind is missing or not a whole number.
@@ -70,7 +70,7 @@
         self.whole(Field::Kind)
     }
 
-    /// A whole number.
+    /// A required whole number.
     ///
     /// # Errors
     /// The field is missing or of another type.
@@ -82,10 +82,10 @@
         }
     }
 
-    /// A whole number up to `limit`, or `default` where the field is missing.
+    /// An optional whole number of at most `limit`; `default` where the field is missing.
     ///
     /// # Errors
-    /// The field is of another type, or the value, also the default, is over the limit.
+    /// The field is of another type, or the value, which may be the default, exceeds the limit.
     pub fn upto(&self, field: Field, limit: u64, default: u64) -> Result<u64, WireError> {
         let value = if self.has(field) {
             self.whole(field)?
@@ -102,10 +102,11 @@
         })
     }
 
-    /// A number from 0 to below 10^15, whole numbers included, or `default` where the field is missing.
+    /// An optional number from 0 to below 10^15, floating-point or whole; `default` where the field is
+    /// missing.
     ///
     /// # Errors
-    /// The field is of another type, or the value is out of this range or not finite.
+    /// The field is of another type, or the value, which may be the default, is out of range or not finite.
     pub fn real(&self, field: Field, default: f64) -> Result<f64, WireError> {
         let value = match self.get(field) {
             None => default,
@@ -122,7 +123,7 @@
         })
     }
 
-    /// A text that is needed.
+    /// A required text.
     ///
     /// # Errors
     /// The field is missing, empty or of another type.
@@ -134,7 +135,7 @@
         }
     }
 
-    /// An optional text, empty where the field is missing.
+    /// An optional text; empty where the field is missing.
     ///
     /// # Errors
     /// The field is of another type.
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Optional bytes, empty where the field is missing.
+    /// Optional bytes; empty where the field is missing.
     ///
     /// # Errors
     /// The field is of another type.
@@ -158,7 +159,7 @@
         }
     }
 
-    /// A flag, false where the field is missing.
+    /// A flag; false where the field is missing.
     ///
     /// # Errors
     /// The field is of another type.
@@ -170,11 +171,12 @@
         }
     }
 
-    /// Calls `each` with the fields of each entry of the list [`Field::Entries`], in order, up to the first error.
+    /// Calls `each` with the fields of each entry of the list [`Field::Entries`], in order, up to the first
+    /// error.
     ///
     /// # Errors
-    /// The list is missing or of another type, an entry cannot be decoded, or `each` fails; the last two as
-    /// [`WireError::Entry`] with the entry's index.
+    /// The list is missing or of another type, an entry cannot be decoded, or `each` returns an error. The
+    /// last two are returned as [`WireError::Entry`], with the index of the entry.
     pub fn entries(
         &self,
         mut each: impl FnMut(&Fields<'a>) -> Result<(), WireError>,
@@ -185,41 +187,43 @@
         let mut decoder = Decoder::new(bytes);
         let len = decoder
             .array()
-            .map_err(|source| undecodable(Field::Entries, source))?
+            .map_err(|source| value_error(Field::Entries, source))?
             .unwrap_or(0);
         for index in 0..len {
-            let rejected = |source| WireError::Entry {
+            let to_entry_error = |source| WireError::Entry {
                 index,
                 source: Box::new(source),
             };
-            let entry = Fields::decode_map(&mut decoder).map_err(rejected)?;
-            each(&entry).map_err(rejected)?;
+            let entry = Fields::decode_map(&mut decoder).map_err(to_entry_error)?;
+            each(&entry).map_err(to_entry_error)?;
         }
         Ok(())
     }
 }
 
-fn undecodable(field: Field, source: decode::Error) -> WireError {
+fn value_error(field: Field, source: decode::Error) -> WireError {
     WireError::Value {
         field: field.name(),
         source,
     }
 }
 
-/// Decodes the value of a field; an array is only skipped, and decoded when its entries are read.
+/// Decodes the value of a field. An array is skipped and kept encoded; [`Fields::entries`] decodes it.
 fn decode_value<'a>(decoder: &mut Decoder<'a>, field: Field) -> Result<Value<'a>, WireError> {
-    let bad = |source| undecodable(field, source);
-    Ok(match decoder.datatype().map_err(bad)? {
-        Type::U8 | Type::U16 | Type::U32 | Type::U64 => Value::Whole(decoder.u64().map_err(bad)?),
-        Type::F16 => Value::Real(f64::from(decoder.f16().map_err(bad)?)),
-        Type::F32 => Value::Real(f64::from(decoder.f32().map_err(bad)?)),
-        Type::F64 => Value::Real(decoder.f64().map_err(bad)?),
-        Type::String => Value::Text(decoder.str().map_err(bad)?),
-        Type::Bytes => Value::Bytes(decoder.bytes().map_err(bad)?),
-        Type::Bool => Value::Flag(decoder.bool().map_err(bad)?),
+    let to_value_error = |source| value_error(field, source);
+    Ok(match decoder.datatype().map_err(to_value_error)? {
+        Type::U8 | Type::U16 | Type::U32 | Type::U64 => {
+            Value::Whole(decoder.u64().map_err(to_value_error)?)
+        }
+        Type::F16 => Value::Real(f64::from(decoder.f16().map_err(to_value_error)?)),
+        Type::F32 => Value::Real(f64::from(decoder.f32().map_err(to_value_error)?)),
+        Type::F64 => Value::Real(decoder.f64().map_err(to_value_error)?),
+        Type::String => Value::Text(decoder.str().map_err(to_value_error)?),
+        Type::Bytes => Value::Bytes(decoder.bytes().map_err(to_value_error)?),
+        Type::Bool => Value::Flag(decoder.bool().map_err(to_value_error)?),
         Type::Array => {
             let start = decoder.position();
-            decoder.skip().map_err(bad)?;
+            decoder.skip().map_err(to_value_error)?;
             Value::List(&decoder.input()[start..decoder.position()])
         }
         found => {
--- a/crates/tidewall-wire/src/writer.rs
+++ b/crates/tidewall-wire/src/writer.rs
@@ -1,13 +1,13 @@
-//! Writing frames and lists.
+//! Encodes frames and lists of entries.
 use crate::prefix::PREFIX_LENGTH;
 use crate::{Field, Value};
 use minicbor::Encoder;
 
-/// Head of a CBOR map with a count of entries in one byte, which is written last: up to 255 fields.
+/// Head of a CBOR map whose number of fields is one byte, for up to 255 fields. The byte is filled in last.
 const MAP_HEAD: [u8; 2] = [0xb8, 0];
 
-/// Writes one frame behind what is in a buffer, field by field, in the order of the calls. Allocates nothing while the
-/// buffer has capacity. [`Frame::end`] completes it.
+/// Appends a frame to a buffer, field by field, in the order of the calls. [`Frame::end`] completes the
+/// frame. Does not allocate while the buffer has capacity, except for lists.
 #[must_use = "the frame is not complete before `end`"]
 pub struct Frame<'a> {
     out: &'a mut Vec<u8>,
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// Begins a frame of a kind, one of [`kind`](crate::kind)'s numbers.
+    /// Begins a frame of the given kind, one of the numbers in [`kind`](crate::kind).
     pub fn new(out: &'a mut Vec<u8>, kind: u64) -> Frame<'a> {
         let start = out.len();
         out.extend_from_slice(&[0; PREFIX_LENGTH]);
@@ -58,7 +58,7 @@
         self.put(field, Value::Whole(value))
     }
 
-    /// Writes a real number, in double precision.
+    /// Writes a floating-point number in double precision.
     pub fn real(self, field: Field, value: f64) -> Frame<'a> {
         self.put(field, Value::Real(value))
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Writes true, or nothing for false.
+    /// Writes a true flag, or nothing for false.
     pub fn flag(self, field: Field, value: bool) -> Frame<'a> {
         if value {
             self.put(field, Value::Flag(true))
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Writes a list as [`Field::Entries`].
+    /// Writes a list as the value of [`Field::Entries`].
     pub fn entries(self, entries: &Entries) -> Frame<'a> {
         let mut list = Vec::new();
         let _ = Encoder::new(&mut list).array(entries.count);
@@ -107,7 +107,7 @@
     }
 }
 
-/// A list that is being written: each entry like a frame, without length prefix and kind.
+/// A list that is being written. Each entry is encoded like a frame without length prefix and kind.
 #[derive(Default)]
 pub struct Entries {
     bytes: Vec<u8>,
@@ -115,7 +115,7 @@
 }
 
 impl Entries {
-    /// Appends an entry with the fields that `write` adds to the frame it gets and returns.
+    /// Appends an entry. `write` gets an empty frame, adds the entry's fields and returns the frame.
     pub fn add(&mut self, write: impl FnOnce(Frame) -> Frame) {
         let map_head = self.bytes.len();
         self.bytes.extend_from_slice(&MAP_HEAD);
--- a/crates/tidewall-wire/tests/frames.rs
+++ b/crates/tidewall-wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Written frames are read again; errors of malformed ones name the field.
+//! Frames are read back as they were written, and the errors of malformed frames name the field.
 #![allow(clippy::unwrap_used, missing_docs)]
 use test_case::test_case;
 use tidewall_wire::{
@@ -8,8 +8,8 @@
 fn body(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
     let mut out = Vec::new();
     write(&mut out);
-    let (body, used) = frame(&out).unwrap().unwrap();
-    assert_eq!(used, out.len());
+    let (body, length) = frame(&out).unwrap().unwrap();
+    assert_eq!(length, out.len());
     body.to_vec()
 }
 
@@ -50,7 +50,7 @@
 
 #[test]
 fn unknown_fields_of_any_type_are_skipped() {
-    // {0: 10, 99: [1, {"a": h'00'}], 5: 3}
+    // In CBOR diagnostic notation: {0: 10, 99: [1, {"a": h'00'}], 5: 3}
     let body = [
         0xa3, 0, 10, 0x18, 99, 0x82, 1, 0xa1, 0x61, b'a', 0x41, 0, 5, 3,
     ];
--- a/crates/tidewall-wire/tests/recorded_frames.rs
+++ b/crates/tidewall-wire/tests/recorded_frames.rs
@@ -1,5 +1,5 @@
-//! The frames recorded in `tests/oracles/wire` are decoded by `Fields`, and `Frame` writes the same fields in the same
-//! order to the same bytes.
+//! Decodes the frames recorded in `tests/oracles/wire` with `Fields`, and encodes the same fields in the same
+//! order with `Frame`: the bytes must be the same.
 #![allow(clippy::unwrap_used, missing_docs)]
 use minicbor::data::Type;
 use minicbor::Decoder;
@@ -8,14 +8,14 @@
 use test_case::test_case;
 use tidewall_wire::{frame, Entries, Field, Fields, Frame};
 
-/// A field as it stands in an encoded map.
+/// A field of an encoded map, with its value still encoded.
 struct EncodedField<'a> {
     field: Field,
     cbor_type: Type,
     value: &'a [u8],
 }
 
-/// The fields of an encoded map in their order, which `Fields` does not keep.
+/// The fields of an encoded map in their original order, which `Fields` does not retain.
 fn encoded_fields<'a>(decoder: &mut Decoder<'a>) -> Vec<EncodedField<'a>> {
     let count = decoder.map().unwrap().unwrap();
     let decode_field = |_| {
@@ -32,7 +32,7 @@
     (0..count).map(decode_field).collect()
 }
 
-/// Writes the given fields with the values that `Fields` has read.
+/// Writes the fields in the given order, with the values that `Fields` has decoded.
 fn rewrite<'a>(mut out: Frame<'a>, read: &Fields<'_>, order: &[EncodedField<'_>]) -> Frame<'a> {
     for encoded in order {
         let field = encoded.field;
@@ -55,15 +55,15 @@
 fn rewrite_entries(read: &Fields<'_>, encoded_list: &[u8]) -> Entries {
     let mut decoder = Decoder::new(encoded_list);
     let mut entries = Entries::default();
-    let mut left = decoder.array().unwrap().unwrap();
+    let mut remaining = decoder.array().unwrap().unwrap();
     read.entries(|entry| {
-        left -= 1;
+        remaining -= 1;
         let order = encoded_fields(&mut decoder);
         entries.add(|out| rewrite(out, entry, &order));
         Ok(())
     })
     .unwrap();
-    assert_eq!(left, 0);
+    assert_eq!(remaining, 0);
     entries
 }
 
