--- a/crates/tidewall-net/src/mio/closing.rs
+++ b/crates/tidewall-net/src/mio/closing.rs
@@ -17,8 +17,8 @@
 impl Mio {
     /// Closes the connection once its write buffer has been sent.
     pub(super) fn close_gracefully(&mut self, conn: Conn) {
-        if let Some(c) = self.connection_mut(conn) {
-            c.closing = true;
+        if let Some(connection) = self.connection_mut(conn) {
+            connection.closing = true;
             self.queue_flush(conn);
         }
         self.remove_failed_connect(conn);
@@ -26,13 +26,13 @@
 
     /// Resets the connection and notifies the app in this wake-up.
     pub(super) fn abort_connection(&mut self, conn: Conn) {
-        if let Some(c) = self.connection_mut(conn) {
+        if let Some(connection) = self.connection_mut(conn) {
             // The slot stays occupied until the app has been notified, so that no other connection gets the
             // same index.
-            c.closing = true;
-            c.discard_unsent();
-            c.reset_on_close();
-            c.aborted = true;
+            connection.closing = true;
+            connection.discard_unsent();
+            connection.reset_on_close();
+            connection.aborted = true;
             let reason = CloseReason::Reset;
             self.pending_closes.push_back(PendingClose { conn, reason });
         }
@@ -40,8 +40,8 @@
 
     /// Resets the connection at once.
     pub(super) fn reset_connection(&mut self, conn: Conn) {
-        if let Some(c) = self.connection_mut(conn) {
-            c.reset_on_close();
+        if let Some(connection) = self.connection_mut(conn) {
+            connection.reset_on_close();
         }
         self.remove_connection(conn);
         self.remove_failed_connect(conn);
@@ -59,19 +59,19 @@
     #[must_use]
     pub(super) fn shut_down_write(&mut self, conn: Conn) -> bool {
         let now = self.clock.now();
-        let Some(c) = self.connection(conn) else {
+        let Some(connection) = self.connection(conn) else {
             return true;
         };
-        if c.linger_timer.is_some() {
+        if connection.linger_timer.is_some() {
             return false;
         }
-        if c.socket.shutdown(Shutdown::Write).is_err() {
+        if connection.socket.shutdown(Shutdown::Write).is_err() {
             return true;
         }
         let token = InternalTimer::Connection(conn).token();
         let timer = self.internal_timers.insert(now + LINGER, token);
-        if let Some(c) = self.connection_mut(conn) {
-            (c.linger_timer, c.readable) = (Some(timer), true);
+        if let Some(connection) = self.connection_mut(conn) {
+            (connection.linger_timer, connection.readable) = (Some(timer), true);
         }
         self.queue_read(conn);
         false
@@ -85,9 +85,9 @@
         let mut chunk = std::mem::take(&mut self.read_chunk);
         let mut lingering: Vec<Conn> = Vec::new();
         for (index, slot) in &self.slots {
-            if let Slot::Connection(c) = slot {
-                let lingers = c.accepted && !c.aborted;
-                lingering.extend(lingers.then_some(Conn::new(index, c.generation)));
+            if let Slot::Connection(connection) = slot {
+                let lingers = connection.accepted && !connection.aborted;
+                lingering.extend(lingers.then_some(Conn::new(index, connection.generation)));
             }
         }
         lingering.retain(|conn| !self.shut_down_write(*conn));
--- a/crates/tidewall-net/src/mio/mod.rs
+++ b/crates/tidewall-net/src/mio/mod.rs
@@ -233,8 +233,8 @@
     }
 
     fn set_read_limit(&mut self, conn: Conn, bytes: usize) {
-        if let Some(c) = self.connection_mut(conn) {
-            c.read_limit = bytes;
+        if let Some(connection) = self.connection_mut(conn) {
+            connection.read_limit = bytes;
         }
     }
 
--- a/crates/tidewall-net/src/mio/poll_loop.rs
+++ b/crates/tidewall-net/src/mio/poll_loop.rs
@@ -212,10 +212,11 @@
         None | Some(Slot::FailedConnect(_)) => {}
         Some(Slot::Listener(_)) => accept(app, index),
         Some(Slot::DatagramSocket(_)) => receive(app, index),
-        Some(Slot::Connection(c)) => {
-            let conn = Conn::new(index, c.generation);
+        Some(Slot::Connection(connection)) => {
+            let conn = Conn::new(index, connection.generation);
             // The next read returns the error or the end of the stream.
-            c.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
+            connection.readable |=
+                event.is_readable() || event.is_read_closed() || event.is_error();
             if event.is_writable() || event.is_error() {
                 handle_writable(app, conn);
             }
@@ -236,18 +237,18 @@
 /// wake-up.
 fn handle_writable<A: App<Net = Mio>>(app: &mut A, conn: Conn) {
     let net = app.net();
-    let Some(c) = net.connection_mut(conn) else {
+    let Some(connection) = net.connection_mut(conn) else {
         return;
     };
-    if !c.is_established() {
-        if let Ok(Some(_)) | Err(_) = c.socket.take_error() {
+    if !connection.is_established() {
+        if let Ok(Some(_)) | Err(_) = connection.socket.take_error() {
             net.remove_connection(conn);
             return app.closed(conn, CloseReason::Refused);
         }
-        if c.socket.peer_addr().is_err() {
+        if connection.socket.peer_addr().is_err() {
             return; // still connecting
         }
-        if let Some(timer) = c.connect_timer.take() {
+        if let Some(timer) = connection.connect_timer.take() {
             net.internal_timers.cancel(timer);
         }
         app.connected(conn);
--- a/crates/tidewall-net/src/mio/reading.rs
+++ b/crates/tidewall-net/src/mio/reading.rs
@@ -13,13 +13,13 @@
 impl Mio {
     pub(super) fn pause_reading(&mut self, conn: Conn, paused: bool) {
         let now = self.clock.now();
-        if let Some(c) = self.connection_mut(conn) {
-            if paused && !c.read_paused {
-                c.paused_at = now;
-            } else if !paused && c.read_paused {
-                c.pause_delay += now - c.paused_at;
+        if let Some(connection) = self.connection_mut(conn) {
+            if paused && !connection.read_paused {
+                connection.paused_at = now;
+            } else if !paused && connection.read_paused {
+                connection.pause_delay += now - connection.paused_at;
             }
-            c.read_paused = paused;
+            connection.read_paused = paused;
             self.queue_read(conn);
         }
     }
@@ -28,23 +28,23 @@
     pub(super) fn find_unread(&mut self, conn: Conn) -> bool {
         let mut chunk = std::mem::take(&mut self.read_chunk);
         let mut found = false;
-        if let Some(c) = self
+        if let Some(connection) = self
             .connection_mut(conn)
             .filter(|c| !c.closing && !c.read_paused && c.is_established())
         {
-            found = c.read_queued && !c.read_buffer.is_empty();
+            found = connection.read_queued && !connection.read_buffer.is_empty();
             if !found {
                 // Input that arrived during this wake-up has no readiness event yet: only a read finds it.
-                let mut read = c.socket.read(&mut chunk);
+                let mut read = connection.socket.read(&mut chunk);
                 while read
                     .as_ref()
                     .is_err_and(|e| e.kind() == io::ErrorKind::Interrupted)
                 {
-                    read = c.socket.read(&mut chunk);
+                    read = connection.socket.read(&mut chunk);
                 }
                 if let Ok(len @ 1..) = read {
-                    c.read_buffer.push(&chunk[..len]);
-                    (c.readable, found) = (true, true);
+                    connection.read_buffer.push(&chunk[..len]);
+                    (connection.readable, found) = (true, true);
                 }
             }
         }
@@ -70,18 +70,18 @@
     }
 
     fn read_once(&mut self, conn: Conn, chunk: &mut [u8]) -> Option<CloseReason> {
-        let c = self.connection_mut(conn)?;
-        if !c.readable {
+        let connection = self.connection_mut(conn)?;
+        if !connection.readable {
             return None;
         }
-        match c.socket.read(chunk) {
+        match connection.socket.read(chunk) {
             Ok(0) => return Some(CloseReason::Ended),
             Ok(len) => {
-                c.read_buffer.push(&chunk[..len]);
+                connection.read_buffer.push(&chunk[..len]);
                 self.queue_read(conn);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                (c.readable, c.pause_delay) = (false, 0);
+                (connection.readable, connection.pause_delay) = (false, 0);
             }
             Err(e) if e.kind() == io::ErrorKind::Interrupted => self.queue_read(conn),
             Err(_) => return Some(CloseReason::Reset),
@@ -114,10 +114,10 @@
 fn read<A: App<Net = Mio>>(app: &mut A, conn: Conn) {
     let net = app.net();
     let mut ended = None;
-    if let Some(c) = net.connection_mut(conn) {
-        c.read_queued = false;
-        let lingering = c.linger_timer.is_some();
-        if !lingering && !is_reading(c) {
+    if let Some(connection) = net.connection_mut(conn) {
+        connection.read_queued = false;
+        let lingering = connection.linger_timer.is_some();
+        if !lingering && !is_reading(connection) {
             return;
         }
         let mut chunk = std::mem::take(&mut net.read_chunk);
@@ -134,8 +134,8 @@
     if pass_to_app(app, conn) {
         ended = Some(CloseReason::Reset);
     }
-    if let (Some(reason), Some(c)) = (ended, app.net().connection_mut(conn)) {
-        let closing = c.closing;
+    if let (Some(reason), Some(connection)) = (ended, app.net().connection_mut(conn)) {
+        let closing = connection.closing;
         app.net().remove_connection(conn);
         if !closing {
             app.closed(conn, reason);
@@ -143,14 +143,14 @@
     }
 }
 
-fn is_reading(c: &Connection) -> bool {
-    !c.closing && !c.read_paused && c.is_established()
+fn is_reading(connection: &Connection) -> bool {
+    !connection.closing && !connection.read_paused && connection.is_established()
 }
 
 /// Passes the read buffer to the app. Returns true where the app leaves a full buffer.
 fn pass_to_app<A: App<Net = Mio>>(app: &mut A, conn: Conn) -> bool {
     let net = app.net();
-    let Some(c) = net
+    let Some(connection) = net
         .connection_mut(conn)
         .filter(|c| !c.read_buffer.is_empty())
     else {
@@ -158,8 +158,8 @@
     };
     // The buffer is moved out of the connection during the call, because the app may act on the connection
     // meanwhile.
-    let mut buffer = std::mem::take(&mut c.read_buffer);
-    let pause_delay = c.pause_delay;
+    let mut buffer = std::mem::take(&mut connection.read_buffer);
+    let pause_delay = connection.pause_delay;
     net.pause_delay = pause_delay;
     let consumed = app.received(conn, buffer.data());
     let net = app.net();
@@ -167,9 +167,9 @@
     buffer.consume(consumed);
     let len = buffer.len();
     match net.connection_mut(conn) {
-        Some(c) => {
-            c.read_buffer = buffer;
-            len >= c.read_limit
+        Some(connection) => {
+            connection.read_buffer = buffer;
+            len >= connection.read_limit
         }
         None => false,
     }
--- a/crates/tidewall-net/src/mio/slots.rs
+++ b/crates/tidewall-net/src/mio/slots.rs
@@ -114,14 +114,17 @@
 
     /// Closes the connection's socket and frees its slot.
     pub(super) fn remove_connection(&mut self, conn: Conn) {
-        if let Some(c) = self.connection_mut(conn) {
-            let timers = [c.connect_timer.take(), c.linger_timer.take()];
+        if let Some(connection) = self.connection_mut(conn) {
+            let timers = [
+                connection.connect_timer.take(),
+                connection.linger_timer.take(),
+            ];
             for timer in timers.into_iter().flatten() {
                 self.internal_timers.cancel(timer);
             }
-            if let Slot::Connection(mut c) = self.slots.remove(conn.index()) {
+            if let Slot::Connection(mut connection) = self.slots.remove(conn.index()) {
                 // Dropping the socket closes it, whether or not deregistering succeeds.
-                let _ = self.poll.registry().deregister(&mut c.socket);
+                let _ = self.poll.registry().deregister(&mut connection.socket);
             }
         }
     }
@@ -139,8 +142,8 @@
 
     /// Queues the connection to be read in this wake-up or in the next one.
     pub(super) fn queue_read(&mut self, conn: Conn) {
-        if let Some(c) = self.connection_mut(conn) {
-            if !std::mem::replace(&mut c.read_queued, true) {
+        if let Some(connection) = self.connection_mut(conn) {
+            if !std::mem::replace(&mut connection.read_queued, true) {
                 self.read_queue.push_back(conn);
             }
         }
@@ -148,8 +151,8 @@
 
     /// Queues the connection to be flushed at the end of this wake-up.
     pub(super) fn queue_flush(&mut self, conn: Conn) {
-        if let Some(c) = self.connection_mut(conn) {
-            if !std::mem::replace(&mut c.flush_queued, true) {
+        if let Some(connection) = self.connection_mut(conn) {
+            if !std::mem::replace(&mut connection.flush_queued, true) {
                 self.flush_queue.push(conn);
             }
         }
--- a/crates/tidewall-net/src/mio/writing.rs
+++ b/crates/tidewall-net/src/mio/writing.rs
@@ -7,17 +7,17 @@
 impl Mio {
     /// Appends all bytes to the write buffer and returns true, or none where its limit would be exceeded.
     pub(super) fn queue_write(&mut self, conn: Conn, bytes: &[u8]) -> bool {
-        let Some(c) = self.connection_mut(conn) else {
+        let Some(connection) = self.connection_mut(conn) else {
             return false;
         };
-        if c.closing {
+        if connection.closing {
             return false;
         }
-        if c.write_buffer.len() + bytes.len() > WRITE_BUFFER_LIMIT {
-            c.writable_pending = true;
+        if connection.write_buffer.len() + bytes.len() > WRITE_BUFFER_LIMIT {
+            connection.writable_pending = true;
             return false;
         }
-        c.write_buffer.push(bytes);
+        connection.write_buffer.push(bytes);
         self.queue_flush(conn);
         true
     }
@@ -26,29 +26,33 @@
     /// the bytes it accepted.
     pub(super) fn write_directly(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let (intact, now) = (self.flush_connection(conn), self.clock.now());
-        let Some(c) = self
+        let Some(connection) = self
             .connection_mut(conn)
             .filter(|c| !c.closing && c.is_established())
         else {
             return 0;
         };
         let mut written = 0;
-        while intact && c.write_buffer.is_empty() && written < bytes.len() {
-            match c.socket.write(&bytes[written..]) {
+        while intact && connection.write_buffer.is_empty() && written < bytes.len() {
+            match connection.socket.write(&bytes[written..]) {
                 Ok(count @ 1..) => written += count,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 // A broken connection is handled by the read, after the input that precedes its end.
                 _ => {
-                    c.readable = true;
+                    connection.readable = true;
                     break;
                 }
             }
         }
-        c.writable_pending |= written < bytes.len();
-        c.last_write = if written > 0 { now } else { c.last_write };
-        c.readable |= !intact;
-        if c.readable {
+        connection.writable_pending |= written < bytes.len();
+        connection.last_write = if written > 0 {
+            now
+        } else {
+            connection.last_write
+        };
+        connection.readable |= !intact;
+        if connection.readable {
             self.queue_read(conn);
         }
         written
@@ -59,18 +63,18 @@
     #[must_use]
     fn flush_connection(&mut self, conn: Conn) -> bool {
         let now = self.clock.now();
-        let Some(c) = self.connection_mut(conn) else {
+        let Some(connection) = self.connection_mut(conn) else {
             return true;
         };
-        if !c.is_established() {
+        if !connection.is_established() {
             return true;
         }
-        while !c.write_buffer.is_empty() {
-            match c.socket.write(c.write_buffer.data()) {
+        while !connection.write_buffer.is_empty() {
+            match connection.socket.write(connection.write_buffer.data()) {
                 Ok(0) => return false,
                 Ok(count) => {
-                    c.write_buffer.consume(count);
-                    c.last_write = now;
+                    connection.write_buffer.consume(count);
+                    connection.last_write = now;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -100,26 +104,26 @@
 
 fn flush<A: App<Net = Mio>>(app: &mut A, conn: Conn) {
     let net = app.net();
-    if let Some(c) = net.connection_mut(conn) {
-        c.flush_queued = false;
+    if let Some(connection) = net.connection_mut(conn) {
+        connection.flush_queued = false;
     }
     let intact = net.flush_connection(conn);
-    let Some(c) = net.connection_mut(conn) else {
+    let Some(connection) = net.connection_mut(conn) else {
         return;
     };
-    let (closing, empty) = (c.closing, c.write_buffer.is_empty());
+    let (closing, empty) = (connection.closing, connection.write_buffer.is_empty());
     if !intact && !closing {
         // What the peer sent before the connection broke is read first; that read also finds the end.
-        c.discard_unsent();
-        c.readable = true;
+        connection.discard_unsent();
+        connection.readable = true;
         net.queue_read(conn);
-    } else if c.aborted {
+    } else if connection.aborted {
         // The connection is removed when the app is notified of the abort.
     } else if !intact || closing && empty {
         if !intact || !net.wrote_recently(conn) || net.shut_down_write(conn) {
             net.remove_connection(conn);
         }
-    } else if empty && std::mem::take(&mut c.writable_pending) {
+    } else if empty && std::mem::take(&mut connection.writable_pending) {
         app.writable(conn);
     }
 }
