--- a/crates/tidewall-gateway/tests/scripted_peers/hard.rs
+++ b/crates/tidewall-gateway/tests/scripted_peers/hard.rs
@@ -14,7 +14,7 @@
 #[test_case(7 ; "in odd pieces")]
 fn requests_are_answered_however_their_bytes_are_split(piece: usize) {
     let mut site = site(&[Behavior::Answers]);
-    site.world.borrow_mut().piece = piece;
+    site.world.borrow_mut().max_segment_size = piece;
     site.send_requests(1..101, "check", 20_000);
     site.run_for(25_000);
     site.assert_all_answered(1..101);
--- a/crates/tidewall-net/src/memory/delivery.rs
+++ b/crates/tidewall-net/src/memory/delivery.rs
@@ -183,10 +183,10 @@
 /// Passes one segment of the receive queue to the app. Returns true where the queue holds more.
 fn receive_segment(shared_world: &Rc<RefCell<World>>, apps: Apps, node: usize, conn: Conn) -> bool {
     let mut world = shared_world.borrow_mut();
-    let max_segment_size = if world.piece == 0 {
+    let max_segment_size = if world.max_segment_size == 0 {
         usize::MAX
     } else {
-        world.piece
+        world.max_segment_size
     };
     let readable = world
         .endpoint(conn)
--- a/crates/tidewall-net/src/memory/handle.rs
+++ b/crates/tidewall-net/src/memory/handle.rs
@@ -76,7 +76,7 @@
     }
 
     /// Simulates a process without free file descriptors, or ends that fault.
-    pub fn bare(&self, exhausted: bool) {
+    pub fn set_out_of_descriptors(&self, exhausted: bool) {
         self.world.borrow_mut().nodes[self.node].out_of_descriptors = exhausted;
     }
 
@@ -141,7 +141,7 @@
     fn listen(&mut self, requested: SocketAddr) -> io::Result<(Listener, SocketAddr)> {
         let mut world = self.world.borrow_mut();
         let address = world.choose_port(requested);
-        if world.moves.contains(&address) {
+        if world.movable_addresses.contains(&address) {
             world.move_address(self.node, address);
         }
         if world.listening_node(address).is_some() {
--- a/crates/tidewall-net/src/memory/world.rs
+++ b/crates/tidewall-net/src/memory/world.rs
@@ -52,13 +52,13 @@
     pub steps: u64,
     /// Addresses that can move between nodes, like the address of a virtual router: a node that listens there
     /// takes the address over from its former owner. A second listener at any other address is refused.
-    pub moves: Vec<SocketAddr>,
+    pub movable_addresses: Vec<SocketAddr>,
     /// Observes and changes messages between nodes.
     pub tap: Option<Tap>,
     /// Latency between nodes for which no path is set, in tenths of a millisecond.
     pub delay: Time,
     /// Maximum number of bytes that are passed to an app in one segment of a stream; 0 for no limit.
-    pub piece: usize,
+    pub max_segment_size: usize,
     pub(super) last_port: u16,
 }
 
@@ -78,10 +78,10 @@
         rng: ChaCha8Rng::seed_from_u64(0),
         digest: FxHasher::default(),
         steps: 0,
-        moves: Vec::new(),
+        movable_addresses: Vec::new(),
         tap: None,
         delay: DEFAULT_DELAY,
-        piece: 0,
+        max_segment_size: 0,
         last_port: EPHEMERAL_PORTS,
     }))
 }
--- a/crates/tidewall-net/tests/nets.rs
+++ b/crates/tidewall-net/tests/nets.rs
@@ -113,7 +113,7 @@
     size: usize,
 ) {
     let world = memory::world();
-    world.borrow_mut().piece = max_segment_size;
+    world.borrow_mut().max_segment_size = max_segment_size;
     let (mut a, _) = peer(Memory::join(&world), true, 0, 0);
     let (mut b, events) = peer(Memory::join(&world), false, size, 0);
     let (_, address) = a.net.listen(any_local_port()).unwrap();
--- a/crates/tidewall-net/tests/paths.rs
+++ b/crates/tidewall-net/tests/paths.rs
@@ -188,7 +188,7 @@
 #[test]
 fn a_moved_address_resets_the_connections_of_its_former_owner() {
     let (world, mut a, mut b, _) = connected_nodes();
-    world.borrow_mut().moves.push(local(700));
+    world.borrow_mut().movable_addresses.push(local(700));
     let mut c_net = Memory::join(&world);
     c_net.listen(local(700)).unwrap();
     memory::run(&world, &mut [&mut a, &mut b], 200);
--- a/crates/tidewall-sim/src/pair/runner.rs
+++ b/crates/tidewall-sim/src/pair/runner.rs
@@ -96,7 +96,7 @@
     pub fn new(setup: Setup) -> Run {
         let world = memory::world();
         world.borrow_mut().seed(setup.seed);
-        world.borrow_mut().moves.push(shared_address());
+        world.borrow_mut().movable_addresses.push(shared_address());
         let hands = [Memory::join(&world), Memory::join(&world)];
         let fleet_hand = Memory::join(&world);
         let stranger_hand = Memory::join(&world);
--- a/crates/tidewall-sim/src/site.rs
+++ b/crates/tidewall-sim/src/site.rs
@@ -370,7 +370,7 @@
         }
     }
     if chance.random_ratio(1, 4) {
-        world.borrow_mut().piece = chance.random_range(1..50);
+        world.borrow_mut().max_segment_size = chance.random_range(1..50);
     }
     let text = setup.script.clone().unwrap_or_else(|| draw(&mut chance));
     let parsed = tidewall_config::script("run", &text).expect("the run's script is good");
@@ -480,7 +480,7 @@
                     world.borrow_mut().path(&hands[gw], &fleet_hand, cut);
                     world.borrow_mut().path(&fleet_hand, &hands[gw], cut);
                 }
-                Hurt::Bare => hands[gw].bare(begins),
+                Hurt::Bare => hands[gw].set_out_of_descriptors(begins),
                 Hurt::Junk if begins => {
                     let at = s.sections("gateway")[gw]
                         .text("address")
