--- a/crates/tidewall-amqp-ingress/src/logins.rs
+++ b/crates/tidewall-amqp-ingress/src/logins.rs
@@ -1,6 +1,7 @@
-//! Passwords are checked on a thread of their own: argon2 is slow on purpose, and a storm of logins must not stop
-//! events. What was found good is known again by a keyed digest, so that terminals that all come back at once (after a
-//! takeover, say) wait for one check, not for one each. The thread ends with its door.
+//! Passwords are checked on a separate thread: argon2 is slow by design, and many logins at once must not
+//! delay requests. A login that succeeded is recognized by a keyed digest, so that clients which all
+//! reconnect at once (after a takeover, for example) wait for one argon2 check and not for one each. The
+//! thread ends when its [`Logins`] is dropped.
 use argon2::password_hash::rand_core::{OsRng, RngCore};
 use argon2::{Argon2, PasswordHash, PasswordVerifier};
 use hmac::{Hmac, Mac};
@@ -18,64 +19,74 @@
     thread,
 };
 
-struct Ask {
-    conn: usize,
-    link: u64,
+/// A password to check.
+struct LoginRequest {
+    connection: usize,
+    transport: u64,
+    /// The user's argon2 hash; none for an unknown user.
     hash: Option<String>,
     password: Vec<u8>,
 }
 
+/// The logins that are being checked.
 pub struct Logins {
-    ask: SyncSender<Ask>,
-    told: Receiver<(usize, u64, bool)>,
+    requests: SyncSender<LoginRequest>,
+    /// Connection, transport and whether the password is right.
+    results: Receiver<(usize, u64, bool)>,
+    /// Logins that were submitted and whose results were not taken yet.
     pub pending: usize,
 }
 
-/// A hash that no password has, checked where the user is unknown, so that both take as long.
-const NOBODY: &str =
+/// A hash that no password has. It is checked for an unknown user, so that the time taken does not reveal
+/// which users exist.
+const UNKNOWN_USER_HASH: &str =
     "$argon2id$v=19$m=19456,t=2,p=1$AAAAAAAAAAAAAAAAAAAAAA$AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA";
 
-/// Good logins that are known again: more than a site has users. Beyond, all are forgotten and checked anew.
-const KNOWN: usize = 1_024;
+/// Limit of the digests of successful logins: more than a site has users. At the limit all are dropped, and
+/// each login is checked by argon2 again.
+const MAX_VERIFIED_LOGINS: usize = 1_024;
 
-/// Digests of good logins under a key that only this process has: no password, nor anything that is worth something elsewhere, is
-/// kept. A changed hash is another login.
-struct Good {
+/// Digests of successful logins, under a random key that only this process has: neither a password nor
+/// anything that is of use outside this process is stored. The digest covers the user's hash, so a changed
+/// hash makes a login unknown again.
+struct VerifiedLogins {
     key: [u8; 32],
     digests: BTreeSet<[u8; 32]>,
 }
 
-impl Good {
-    fn new() -> Good {
+impl VerifiedLogins {
+    fn new() -> VerifiedLogins {
         let mut key = [0; 32];
         OsRng.fill_bytes(&mut key);
-        Good {
+        VerifiedLogins {
             key,
             digests: BTreeSet::new(),
         }
     }
 
     fn digest(&self, hash: &str, password: &[u8]) -> [u8; 32] {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.key).expect("any length is good");
-        // Told with its length, or another split of the two would have the same digest.
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(&self.key).expect("HMAC accepts keys of any length");
+        // Without the length, another split of the same bytes into hash and password would have the same
+        // digest.
         mac.update(&(hash.len() as u64).to_be_bytes());
         mac.update(hash.as_bytes());
         mac.update(password);
         mac.finalize().into_bytes().into()
     }
 
-    /// An unknown user, and a wrong password, always cost a whole check.
+    /// Whether the password is right. For an unknown user or a wrong password argon2 always runs in full.
     fn check(&mut self, hash: Option<&str>, password: &[u8]) -> bool {
         let digest = hash.map(|hash| self.digest(hash, password));
         if digest.is_some_and(|d| self.digests.contains(&d)) {
             return true;
         }
-        let good = PasswordHash::new(hash.unwrap_or(NOBODY))
+        let good = PasswordHash::new(hash.unwrap_or(UNKNOWN_USER_HASH))
             .is_ok_and(|hash| Argon2::default().verify_password(password, &hash).is_ok());
         let Some(digest) = digest.filter(|_| good) else {
             return false;
         };
-        if self.digests.len() >= KNOWN {
+        if self.digests.len() >= MAX_VERIFIED_LOGINS {
             self.digests.clear();
         }
         self.digests.insert(digest);
@@ -84,85 +95,104 @@
 }
 
 impl Logins {
-    pub fn new(most: usize) -> Logins {
-        let mut known = Good::new();
-        Logins::by(most, move |hash, password| known.check(hash, password))
+    /// Starts the thread; at most `max_waiting` logins wait for it.
+    pub fn new(max_waiting: usize) -> Logins {
+        let mut verified = VerifiedLogins::new();
+        Logins::with_check(max_waiting, move |hash, password| {
+            verified.check(hash, password)
+        })
     }
 
-    /// A check that panics is a login that failed: the next ones are checked all the same, and nobody waits for it.
-    fn by(
-        most: usize,
+    /// Starts the thread with this check. A check that panics counts as a failed login, so its connection
+    /// gets a result and the thread goes on with the next login.
+    fn with_check(
+        max_waiting: usize,
         mut check: impl FnMut(Option<&str>, &[u8]) -> bool + Send + 'static,
     ) -> Logins {
-        let (ask, asked) = sync_channel::<Ask>(most);
-        let (tell, told) = sync_channel(most);
+        let (requests, request_receiver) = sync_channel::<LoginRequest>(max_waiting);
+        let (result_sender, results) = sync_channel(max_waiting);
         thread::spawn(move || {
-            for a in asked {
-                let good = catch_unwind(AssertUnwindSafe(|| check(a.hash.as_deref(), &a.password)));
+            for request in request_receiver {
+                let good = catch_unwind(AssertUnwindSafe(|| {
+                    check(request.hash.as_deref(), &request.password)
+                }));
                 let good = good.unwrap_or(false);
-                if tell.send((a.conn, a.link, good)).is_err() {
+                if result_sender
+                    .send((request.connection, request.transport, good))
+                    .is_err()
+                {
                     return;
                 }
             }
         });
         Logins {
-            ask,
-            told,
+            requests,
+            results,
             pending: 0,
         }
     }
 
-    /// False where too many wait already.
-    pub fn check(&mut self, conn: usize, link: u64, hash: Option<String>, password: &[u8]) -> bool {
-        let asked = self
-            .ask
-            .try_send(Ask {
-                conn,
-                link,
+    /// Submits a password to the thread; false if too many logins are waiting already.
+    pub fn submit(
+        &mut self,
+        connection: usize,
+        transport: u64,
+        hash: Option<String>,
+        password: &[u8],
+    ) -> bool {
+        let submitted = self
+            .requests
+            .try_send(LoginRequest {
+                connection,
+                transport,
                 hash,
                 password: password.to_vec(),
             })
             .is_ok();
-        self.pending += usize::from(asked);
-        asked
+        self.pending += usize::from(submitted);
+        submitted
     }
 
-    pub fn done(&mut self) -> Option<(usize, u64, bool)> {
-        match self.told.try_recv() {
-            Ok(done) => {
+    /// The next result, if there is one: connection, transport and whether the password is right.
+    pub fn try_result(&mut self) -> Option<(usize, u64, bool)> {
+        match self.results.try_recv() {
+            Ok(result) => {
                 self.pending -= 1;
-                Some(done)
+                Some(result)
             }
             Err(TryRecvError::Empty | TryRecvError::Disconnected) => None,
         }
     }
 }
 
-/// Orderings of the door's thread and the checking one, each run another: the shipped code on shuttle's primitives.
+/// Runs the code above on the primitives of shuttle: each run is another interleaving of the ingress's thread
+/// and the thread that checks passwords.
 #[cfg(all(test, shuttle))]
 mod orderings {
     use super::*;
 
     const RUNS: usize = 20_000;
 
-    /// Each login that was taken ends once, with its own answer, however the two run; none stays pending.
-    fn ends_once(most: usize, swap: bool) {
-        let mut logins = Logins::by(most, move |_, password| (password == b"good") != swap);
-        let (mut asked, mut ended) = (Vec::new(), Vec::new());
-        for conn in 0..6 {
-            let password: &[u8] = if conn % 2 == 0 { b"good" } else { b"bad" };
-            if logins.check(conn, 7, None, password) {
-                asked.push((conn, 7, conn % 2 == 0));
+    /// In every interleaving each submitted login gets its own result exactly once, and none stays pending.
+    fn ends_once(max_waiting: usize, swap: bool) {
+        let mut logins = Logins::with_check(max_waiting, move |_, password| {
+            (password == b"good") != swap
+        });
+        let (mut submitted, mut results) = (Vec::new(), Vec::new());
+        for connection in 0..6 {
+            let password: &[u8] = if connection % 2 == 0 { b"good" } else { b"bad" };
+            if logins.submit(connection, 7, None, password) {
+                submitted.push((connection, 7, connection % 2 == 0));
             }
-            ended.extend(logins.done());
+            results.extend(logins.try_result());
             thread::yield_now();
         }
         while logins.pending > 0 {
-            ended.extend(logins.done());
+            results.extend(logins.try_result());
             thread::yield_now();
         }
-        assert_eq!(ended, asked);
-        assert!(asked.len() >= most && logins.done().is_none());
+        assert_eq!(results, submitted);
+        assert!(submitted.len() >= max_waiting && logins.try_result().is_none());
     }
 
     #[test]
@@ -177,20 +207,21 @@
         shuttle::check_random(|| ends_once(2, true), 10);
     }
 
-    /// The door goes first, with logins waiting and answers unread: the thread ends, or shuttle tells of a deadlock.
+    /// `Logins` is dropped while logins wait and results are unread: shuttle reports a deadlock if the thread
+    /// does not end.
     #[test]
     fn a_door_that_goes_first_leaves_no_thread_behind() {
-        let goes = |read: usize| {
-            let mut logins = Logins::by(1, |_, _| true);
-            for conn in 0..4 {
-                logins.check(conn, 7, None, b"");
+        let drop_after = |taken: usize| {
+            let mut logins = Logins::with_check(1, |_, _| true);
+            for connection in 0..4 {
+                logins.submit(connection, 7, None, b"");
             }
-            for _ in 0..read {
-                logins.done();
+            for _ in 0..taken {
+                logins.try_result();
             }
         };
-        shuttle::check_random(move || goes(0), RUNS);
-        shuttle::check_random(move || goes(2), RUNS);
+        shuttle::check_random(move || drop_after(0), RUNS);
+        shuttle::check_random(move || drop_after(2), RUNS);
     }
 }
 
@@ -201,76 +232,86 @@
 
     fn hash(password: &[u8], salt: &[u8]) -> String {
         let salt = SaltString::encode_b64(salt).unwrap();
-        let cheap = argon2::Params::new(8, 1, 1, None).unwrap();
-        let cheap = Argon2::new(argon2::Algorithm::Argon2id, argon2::Version::V0x13, cheap);
-        cheap.hash_password(password, &salt).unwrap().to_string()
+        let params = argon2::Params::new(8, 1, 1, None).unwrap();
+        let argon2 = Argon2::new(argon2::Algorithm::Argon2id, argon2::Version::V0x13, params);
+        argon2.hash_password(password, &salt).unwrap().to_string()
     }
 
     #[test]
-    fn only_what_was_found_good_is_known_again() {
-        let (mut good, a) = (Good::new(), hash(b"secret", b"0123456789abcdef"));
-        assert!(!good.check(Some(&a), b"wrong") && !good.check(None, b"secret"));
-        assert!(good.digests.is_empty());
-        assert!(good.check(Some(&a), b"secret") && good.check(Some(&a), b"secret"));
-        assert_eq!(good.digests.len(), 1);
-        assert!(!good.check(Some(&a), b"wrong") && !good.check(None, b"secret"));
-        // The user's hash was changed.
-        let b = hash(b"other", b"0123456789abcdef");
-        assert!(!good.check(Some(&b), b"secret"));
+    fn only_successful_logins_are_recognized() {
+        let (mut verified, first_hash) =
+            (VerifiedLogins::new(), hash(b"secret", b"0123456789abcdef"));
+        assert!(!verified.check(Some(&first_hash), b"wrong") && !verified.check(None, b"secret"));
+        assert!(verified.digests.is_empty());
+        assert!(
+            verified.check(Some(&first_hash), b"secret")
+                && verified.check(Some(&first_hash), b"secret")
+        );
+        assert_eq!(verified.digests.len(), 1);
+        assert!(!verified.check(Some(&first_hash), b"wrong") && !verified.check(None, b"secret"));
+        // The user's hash has changed.
+        let changed_hash = hash(b"other", b"0123456789abcdef");
+        assert!(!verified.check(Some(&changed_hash), b"secret"));
     }
 
-    fn ends(logins: &mut Logins, count: usize) -> Vec<(usize, bool)> {
-        let mut ends = Vec::new();
+    fn results(logins: &mut Logins, count: usize) -> Vec<(usize, bool)> {
+        let mut results = Vec::new();
         for _ in 0..5_000 {
-            ends.extend(logins.done().map(|(conn, _, good)| (conn, good)));
-            if ends.len() == count {
+            results.extend(
+                logins
+                    .try_result()
+                    .map(|(connection, _, good)| (connection, good)),
+            );
+            if results.len() == count {
                 break;
             }
             thread::sleep(std::time::Duration::from_millis(1));
         }
-        ends
+        results
     }
 
-    /// The thread ended with the first check that panicked: its connection waited, and all later logins were refused for good.
+    /// Guards against the thread ending with the first check that panics: its connection would wait for ever,
+    /// and every later login would be refused.
     #[test]
-    fn a_check_that_panics_is_a_login_that_failed() {
-        let mut logins = Logins::by(4, |_, password| password != b"panic" || panic!("planted"));
-        for (conn, password) in [b"good!", b"panic", b"again"].into_iter().enumerate() {
-            assert!(logins.check(conn, 7, None, password));
+    fn a_check_that_panics_is_a_failed_login() {
+        let mut logins =
+            Logins::with_check(4, |_, password| password != b"panic" || panic!("planted"));
+        for (connection, password) in [b"good!", b"panic", b"again"].into_iter().enumerate() {
+            assert!(logins.submit(connection, 7, None, password));
         }
-        assert_eq!(ends(&mut logins, 3), [(0, true), (1, false), (2, true)]);
+        assert_eq!(results(&mut logins, 3), [(0, true), (1, false), (2, true)]);
         assert_eq!(logins.pending, 0);
     }
 
-    /// The door that does not read its answers stops the thread, not itself; one that goes ends it.
+    /// Results that are not taken block the thread and not the caller, and no submitted login is lost.
     #[test]
-    fn answers_that_nobody_reads_lose_no_login() {
-        let mut logins = Logins::by(2, |_, _| true);
-        let mut asked = 0;
-        // Two that wait, two answers, and one in the hand of the thread.
+    fn results_that_are_not_taken_lose_no_login() {
+        let mut logins = Logins::with_check(2, |_, _| true);
+        let mut submitted = 0;
+        // Two logins in the queue, two results, and one login that the thread is checking.
         for _ in 0..20_000 {
-            if asked == 5 {
+            if submitted == 5 {
                 break;
             }
-            asked += usize::from(logins.check(asked, 7, None, b""));
+            submitted += usize::from(logins.submit(submitted, 7, None, b""));
             thread::sleep(std::time::Duration::from_micros(500));
         }
         assert!(
-            (0..100).all(|_| !logins.check(9, 7, None, b"")),
-            "no more than that"
+            (0..100).all(|_| !logins.submit(9, 7, None, b"")),
+            "no more logins are accepted"
         );
-        assert_eq!((asked, logins.pending), (5, 5));
-        assert_eq!(ends(&mut logins, 5).len(), 5);
-        assert!(logins.check(9, 7, None, b""));
+        assert_eq!((submitted, logins.pending), (5, 5));
+        assert_eq!(results(&mut logins, 5).len(), 5);
+        assert!(logins.submit(9, 7, None, b""));
     }
 
     #[test]
-    fn no_more_than_the_bound_is_known() {
-        let mut good = Good::new();
-        good.digests = (0..KNOWN as u64)
+    fn the_number_of_digests_is_bounded() {
+        let mut verified = VerifiedLogins::new();
+        verified.digests = (0..MAX_VERIFIED_LOGINS as u64)
             .map(|i| [i.to_be_bytes(); 4].concat().try_into().unwrap())
             .collect();
-        assert!(good.check(Some(&hash(b"secret", b"0123456789abcdef")), b"secret"));
-        assert_eq!(good.digests.len(), 1);
+        assert!(verified.check(Some(&hash(b"secret", b"0123456789abcdef")), b"secret"));
+        assert_eq!(verified.digests.len(), 1);
     }
 }
--- a/crates/tidewall-amqp-ingress/tests/triggers.rs
+++ b/crates/tidewall-amqp-ingress/tests/triggers.rs
@@ -1,7 +1,7 @@
-//! Terminals, the gateway with its AMQP door, and scripted workers on the network in memory: one answer for each
-//! event, and no second effect, whatever happens between.
+//! AMQP clients, the gateway with its AMQP ingress, and scripted workers on the in-memory network: each
+//! request gets exactly one answer and is not executed twice, whatever fails in between.
 #[path = "../../tidewall-gateway/tests/help/mod.rs"]
-#[allow(dead_code)] // a part of it is for the gateway's own tests
+#[allow(dead_code)] // some of it is used by the gateway's tests only
 mod help;
 
 use argon2::password_hash::{PasswordHasher, SaltString};
@@ -15,37 +15,38 @@
 use tidewall_net::{App, CloseReason, Conn, Listener, Net, Time};
 use tidewall_wire::kind;
 
-const DOOR: &str = "127.0.0.1:702";
+const INGRESS_ADDRESS: &str = "127.0.0.1:702";
 
 #[derive(Default)]
-struct Told {
+struct Observed {
     ready: bool,
     answers: Vec<(u64, String, u64)>,
     confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Told {
+impl Heard for Observed {
     fn ready(&mut self) {
         self.ready = true;
     }
-    fn answer(&mut self, evt: u64, word: &str, come_back: u64) {
-        self.answers.push((evt, word.to_string(), come_back));
+    fn answer(&mut self, event: u64, disposition: &str, retry_after: u64) {
+        self.answers
+            .push((event, disposition.to_string(), retry_after));
     }
-    fn confirmed(&mut self, evt: u64, good: bool) {
-        self.confirms.push((evt, good));
+    fn confirmed(&mut self, event: u64, good: bool) {
+        self.confirms.push((event, good));
     }
 }
 
-/// A terminal at its desk.
-struct Desk {
+/// A client that publishes requests over one connection.
+struct Publisher {
     net: Memory,
     conn: Option<Conn>,
     terminal: Terminal,
-    told: Told,
-    over: Vec<String>,
+    observed: Observed,
+    errors: Vec<String>,
 }
 
-impl App for Desk {
+impl App for Publisher {
     type Net = Memory;
     fn net(&mut self) -> &mut Memory {
         &mut self.net
@@ -61,12 +62,12 @@
         loop {
             match self
                 .terminal
-                .frame(&bytes[used..], &mut out, &mut self.told)
+                .frame(&bytes[used..], &mut out, &mut self.observed)
             {
                 Ok(0) => break,
-                Ok(n) => used += n,
-                Err(e) => {
-                    self.over.push(e);
+                Ok(length) => used += length,
+                Err(error) => {
+                    self.errors.push(error);
                     return bytes.len();
                 }
             }
@@ -81,103 +82,124 @@
     fn timer_fired(&mut self, _: u64) {}
 }
 
-struct Yard {
+/// The site of the gateway's tests, with publishers.
+struct Fixture {
     site: Site,
-    desks: Vec<Desk>,
+    publishers: Vec<Publisher>,
 }
 
-/// A hash that costs nothing: tests wait for it in real time.
-fn hash() -> String {
-    let cheap = Argon2::new(
+/// A hash with the least argon2 cost, as tests wait for the check in real time.
+fn password_hash() -> String {
+    let argon2 = Argon2::new(
         Algorithm::Argon2id,
         Version::V0x13,
         Params::new(8, 1, 1, None).unwrap(),
     );
     let salt = SaltString::encode_b64(b"0123456789abcdef").unwrap();
-    cheap.hash_password(b"terminal", &salt).unwrap().to_string()
+    argon2
+        .hash_password(b"terminal", &salt)
+        .unwrap()
+        .to_string()
 }
 
-fn yard(does: &[Behavior], desks: usize, more: &str) -> Yard {
-    let mut site = site(does);
+fn new_fixture(behaviors: &[Behavior], publishers: usize, extra_settings: &str) -> Fixture {
+    let mut site = site(behaviors);
     let text = format!(
         r#"
-        gateway {{ name: "g0" address: "127.0.0.1:700" amqp_address: "{DOOR}" zone: "z" }}
+        gateway {{ name: "g0" address: "127.0.0.1:700" amqp_address: "{INGRESS_ADDRESS}" zone: "z" }}
         roster {{ address: "127.0.0.1:701" }}
         zone: "z"
         event_type {{ name: "check" target_time_ms: 500 max_age_ms: 2000 redelivery: REDELIVERABLE }}
         event_type {{ name: "record" target_time_ms: 500 max_age_ms: 2000 redelivery: KEYED window_ms: 4000 }}
         event_type {{ name: "issue" target_time_ms: 500 max_age_ms: 2000 redelivery: AT_MOST_ONCE }}
-        amqp {{ user {{ name: "terminal" password_hash: "{}" }} {more} }}"#,
-        hash()
+        amqp {{ user {{ name: "terminal" password_hash: "{}" }} {extra_settings} }}"#,
+        password_hash()
     );
     let settings = tidewall_config::settings("test", &text).unwrap();
     site.gateway
-        .add_ingress(address(DOOR), Box::new(Amqp::new(1, &settings)))
+        .add_ingress(address(INGRESS_ADDRESS), Box::new(Amqp::new(1, &settings)))
         .unwrap();
-    let desk = |_| Desk {
+    let publisher = |_| Publisher {
         net: Memory::join(&site.world),
         conn: None,
         terminal: Terminal::default(),
-        told: Told::default(),
-        over: Vec::new(),
+        observed: Observed::default(),
+        errors: Vec::new(),
     };
-    let desks = (0..desks).map(desk).collect();
-    let mut yard = Yard { site, desks };
-    (0..yard.desks.len()).for_each(|d| yard.connect(d));
-    yard.ready();
-    yard
+    let publishers = (0..publishers).map(publisher).collect();
+    let mut fixture = Fixture { site, publishers };
+    (0..fixture.publishers.len()).for_each(|index| fixture.connect(index));
+    fixture.wait_for_logins();
+    fixture
 }
 
-impl Yard {
-    fn connect(&mut self, d: usize) {
-        let desk = &mut self.desks[d];
-        desk.told.ready = false;
-        desk.conn = Some(desk.net.connect(address(DOOR), 10_000));
+impl Fixture {
+    fn connect(&mut self, index: usize) {
+        let publisher = &mut self.publishers[index];
+        publisher.observed.ready = false;
+        publisher.conn = Some(publisher.net.connect(address(INGRESS_ADDRESS), 10_000));
     }
 
-    /// Passwords are checked in real time: the world's clock waits for them.
-    fn ready(&mut self) {
+    /// Waits until all logins have ended. Passwords are checked in real time, which the simulated clock waits
+    /// for.
+    fn wait_for_logins(&mut self) {
         for _ in 0..2_000 {
-            self.pass(200);
-            if self.desks.iter().all(|d| d.told.ready || d.conn.is_none()) {
+            self.run_for(200);
+            if self
+                .publishers
+                .iter()
+                .all(|publisher| publisher.observed.ready || publisher.conn.is_none())
+            {
                 return;
             }
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
-        panic!("a login never ended");
+        panic!("a login did not end");
     }
 
-    fn pass(&mut self, time: Time) {
-        let until = self.site.gateway_net.now() + time;
+    fn run_for(&mut self, duration: Time) {
+        let until = self.site.gateway_net.now() + duration;
         let mut apps: Vec<&mut dyn App<Net = Memory>> =
             vec![&mut self.site.gateway, &mut self.site.discovery];
-        self.site.workers.iter_mut().for_each(|w| apps.push(w));
+        self.site
+            .workers
+            .iter_mut()
+            .for_each(|worker| apps.push(worker));
         apps.push(&mut self.site.client);
-        self.desks.iter_mut().for_each(|d| apps.push(d));
+        self.publishers
+            .iter_mut()
+            .for_each(|publisher| apps.push(publisher));
         memory::run(&self.site.world, &mut apps, until);
     }
 
-    fn publish(&mut self, d: usize, evt: u64, key: &str, left_ms: u64, mark: u64) {
-        let desk = &mut self.desks[d];
+    fn publish(&mut self, index: usize, event: u64, key: &str, remaining_ms: u64, message_id: u64) {
+        let publisher = &mut self.publishers[index];
         let mut out = Vec::new();
-        desk.terminal
-            .publish(&mut out, evt, key, left_ms, mark, false, b"body");
-        let conn = desk.conn.unwrap();
-        assert!(desk.net.write(conn, &out));
+        publisher.terminal.publish(
+            &mut out,
+            event,
+            key,
+            remaining_ms,
+            message_id,
+            false,
+            b"body",
+        );
+        let conn = publisher.conn.unwrap();
+        assert!(publisher.net.write(conn, &out));
     }
 
-    fn words(&self, d: usize, evt: u64) -> Vec<&str> {
-        self.desks[d]
-            .told
+    fn dispositions(&self, publisher: usize, event: u64) -> Vec<&str> {
+        self.publishers[publisher]
+            .observed
             .answers
             .iter()
-            .filter(|a| a.0 == evt)
+            .filter(|a| a.0 == event)
             .map(|a| a.1.as_str())
             .collect()
     }
 
-    fn confirms(&self, d: usize) -> &[(u64, bool)] {
-        &self.desks[d].told.confirms
+    fn confirms(&self, publisher: usize) -> &[(u64, bool)] {
+        &self.publishers[publisher].observed.confirms
     }
 
     fn launches(&self) -> usize {
@@ -188,326 +210,374 @@
 #[test_case("check.f", Behavior::Answers, "handled", true ; "handled")]
 #[test_case("check.f", Behavior::Nothing, "deferred", false ; "deferred")]
 #[test_case("issue.f", Behavior::Nothing, "dead-lettered", false ; "dead lettered")]
-#[test_case("odd.f", Behavior::Answers, "turned-away", false ; "unknown type")]
+#[test_case("odd.f", Behavior::Answers, "turned-away", false ; "unknown event type")]
 #[test_case("check", Behavior::Answers, "turned-away", false ; "no function")]
-fn a_publish_gets_one_answer_and_a_confirm_that_says_the_same(
+fn a_publish_gets_one_answer_and_the_matching_confirm(
     key: &str,
-    does: Behavior,
-    word: &str,
+    behavior: Behavior,
+    disposition: &str,
     acked: bool,
 ) {
-    let mut y = yard(&[does], 1, "");
-    y.publish(0, 7, key, 1_500, 70);
-    y.pass(40_000);
+    let mut fixture = new_fixture(&[behavior], 1, "");
+    fixture.publish(0, 7, key, 1_500, 70);
+    fixture.run_for(40_000);
     assert_eq!(
-        (y.words(0, 7), y.confirms(0)),
-        (vec![word], &[(7, acked)][..])
+        (fixture.dispositions(0, 7), fixture.confirms(0)),
+        (vec![disposition], &[(7, acked)][..])
     );
     assert_eq!(
         (
-            y.site.gateway.requests_in_flight(),
-            y.site.gateway.calls_in_flight()
+            fixture.site.gateway.requests_in_flight(),
+            fixture.site.gateway.calls_in_flight()
         ),
         (0, 0)
     );
 }
 
 #[test_case(0, "turned-away", 0 ; "expiration 0")]
-#[test_case(3_600_000, "deferred", 20_000 ; "expiration beyond the max age is cut to it")]
-fn expirations(ms: u64, word: &str, within: Time) {
-    let mut y = yard(&[Behavior::Nothing], 1, "");
-    y.publish(0, 7, "check.f", ms, 70);
-    y.pass(within + 100);
-    assert_eq!(y.words(0, 7), [word]);
+#[test_case(3_600_000, "deferred", 20_000 ; "expiration beyond max_age_ms is reduced to it")]
+fn expiration_limits_the_remaining_time(ms: u64, disposition: &str, within: Time) {
+    let mut fixture = new_fixture(&[Behavior::Nothing], 1, "");
+    fixture.publish(0, 7, "check.f", ms, 70);
+    fixture.run_for(within + 100);
+    assert_eq!(fixture.dispositions(0, 7), [disposition]);
 }
 
-/// The connection is lost between publish and confirm; the same message-id comes on a new one.
+/// The connection is lost between publish and confirm, and the client repeats the message-id on a new
+/// connection.
 #[test]
-fn a_message_id_on_a_new_connection_meets_the_event_in_hand() {
-    let mut y = yard(&[Behavior::AnswersAfter(8_000)], 1, "");
-    y.publish(0, 7, "record.f", 1_900, 70);
-    y.pass(100);
-    let conn = y.desks[0].conn.take().unwrap();
-    y.desks[0].net.reset(conn);
-    y.pass(100);
-    y.connect(0);
-    y.ready();
-    y.publish(0, 8, "record.f", 1_900, 70);
-    y.pass(20_000);
+fn a_message_id_on_a_new_connection_joins_the_request_in_flight() {
+    let mut fixture = new_fixture(&[Behavior::AnswersAfter(8_000)], 1, "");
+    fixture.publish(0, 7, "record.f", 1_900, 70);
+    fixture.run_for(100);
+    let conn = fixture.publishers[0].conn.take().unwrap();
+    fixture.publishers[0].net.reset(conn);
+    fixture.run_for(100);
+    fixture.connect(0);
+    fixture.wait_for_logins();
+    fixture.publish(0, 8, "record.f", 1_900, 70);
+    fixture.run_for(20_000);
     assert_eq!(
-        (y.launches(), y.words(0, 7).len(), y.words(0, 8)),
+        (
+            fixture.launches(),
+            fixture.dispositions(0, 7).len(),
+            fixture.dispositions(0, 8)
+        ),
         (1, 0, vec!["handled"])
     );
-    assert_eq!(y.confirms(0), [(8, true)]);
-    assert_eq!(y.site.gateway.requests_in_flight(), 0);
+    assert_eq!(fixture.confirms(0), [(8, true)]);
+    assert_eq!(fixture.site.gateway.requests_in_flight(), 0);
 }
 
 #[test]
-fn two_publishers_with_one_message_id_share_one_running() {
-    let mut y = yard(&[Behavior::AnswersAfter(2_000)], 2, "");
-    y.publish(0, 7, "record.f", 1_900, 70);
-    y.pass(500);
-    y.publish(1, 8, "record.f", 1_900, 70);
-    y.pass(20_000);
+fn two_publishers_with_one_message_id_share_one_execution() {
+    let mut fixture = new_fixture(&[Behavior::AnswersAfter(2_000)], 2, "");
+    fixture.publish(0, 7, "record.f", 1_900, 70);
+    fixture.run_for(500);
+    fixture.publish(1, 8, "record.f", 1_900, 70);
+    fixture.run_for(20_000);
     assert_eq!(
-        (y.launches(), y.words(0, 7), y.words(1, 8)),
+        (
+            fixture.launches(),
+            fixture.dispositions(0, 7),
+            fixture.dispositions(1, 8)
+        ),
         (1, vec!["handled"], vec!["handled"])
     );
 }
 
-/// Within its window the recorded answer is given again; after it the event is a new one.
+/// A repeat within the window gets the recorded answer; after the window it is a new request.
 #[test_case(39_000, 1 ; "within the window")]
 #[test_case(41_500, 2 ; "just after the window")]
-fn a_handled_message_id_comes_again(wait: Time, launches: usize) {
-    let mut y = yard(&[Behavior::Answers], 1, "");
-    y.publish(0, 7, "record.f", 1_900, 70);
-    y.pass(wait);
-    y.publish(0, 8, "record.f", 1_900, 70);
-    y.pass(5_000);
+fn a_completed_message_id_is_repeated(wait: Time, launches: usize) {
+    let mut fixture = new_fixture(&[Behavior::Answers], 1, "");
+    fixture.publish(0, 7, "record.f", 1_900, 70);
+    fixture.run_for(wait);
+    fixture.publish(0, 8, "record.f", 1_900, 70);
+    fixture.run_for(5_000);
     assert_eq!(
-        (y.words(0, 7), y.words(0, 8)),
+        (fixture.dispositions(0, 7), fixture.dispositions(0, 8)),
         (vec!["handled"], vec!["handled"])
     );
-    assert_eq!(y.launches(), launches);
+    assert_eq!(fixture.launches(), launches);
 }
 
-/// The worker goes silent; the terminal asks again with the same message-id before and after its answer.
+/// The workers never respond; the client repeats the message-id before and after the answer.
 #[test]
-fn a_record_is_resent_while_its_worker_is_silent() {
-    let mut y = yard(&[Behavior::Nothing, Behavior::Nothing], 1, "");
-    y.publish(0, 7, "record.f", 1_500, 70);
-    y.pass(5_000);
-    y.publish(0, 8, "record.f", 1_500, 70);
-    y.pass(40_000);
+fn a_keyed_request_is_repeated_while_its_worker_is_silent() {
+    let mut fixture = new_fixture(&[Behavior::Nothing, Behavior::Nothing], 1, "");
+    fixture.publish(0, 7, "record.f", 1_500, 70);
+    fixture.run_for(5_000);
+    fixture.publish(0, 8, "record.f", 1_500, 70);
+    fixture.run_for(40_000);
     assert_eq!(
-        (y.words(0, 7), y.words(0, 8)),
+        (fixture.dispositions(0, 7), fixture.dispositions(0, 8)),
         (vec!["dead-lettered"], vec!["dead-lettered"])
     );
-    let before = y.launches();
-    y.publish(0, 9, "record.f", 1_500, 70);
-    y.pass(1_000);
+    let before = fixture.launches();
+    fixture.publish(0, 9, "record.f", 1_500, 70);
+    fixture.run_for(1_000);
     assert_eq!(
-        (y.words(0, 9), y.launches()),
+        (fixture.dispositions(0, 9), fixture.launches()),
         (vec!["dead-lettered"], before),
-        "the record answers, nothing runs"
+        "the recorded answer is sent and nothing is executed"
     );
 }
 
-/// A deferral invites the next try, which runs.
+/// A rejection asks the client to retry, and the retry is executed.
 #[test]
-fn a_deferred_message_id_may_come_again_at_once() {
-    let mut y = yard(&[Behavior::AnswersOutcome("full")], 1, "");
-    y.publish(0, 7, "record.f", 1_500, 70);
-    y.pass(20_000);
-    assert_eq!(y.words(0, 7), ["deferred"]);
-    y.site.workers[0].behavior = Behavior::Answers;
-    y.publish(0, 8, "record.f", 1_500, 70);
-    y.pass(20_000);
-    assert_eq!(y.words(0, 8), ["handled"]);
+fn a_rejected_message_id_may_be_retried_at_once() {
+    let mut fixture = new_fixture(&[Behavior::AnswersOutcome("full")], 1, "");
+    fixture.publish(0, 7, "record.f", 1_500, 70);
+    fixture.run_for(20_000);
+    assert_eq!(fixture.dispositions(0, 7), ["deferred"]);
+    fixture.site.workers[0].behavior = Behavior::Answers;
+    fixture.publish(0, 8, "record.f", 1_500, 70);
+    fixture.run_for(20_000);
+    assert_eq!(fixture.dispositions(0, 8), ["handled"]);
 }
 
-/// Cut at every byte of a publish: nothing half is taken, and the gateway serves on.
+/// The connection is reset after every number of bytes of a publish: no incomplete publish is accepted, and
+/// the gateway goes on serving others.
 #[test]
-fn a_terminal_is_cut_at_every_byte() {
-    let mut y = yard(&[Behavior::Answers], 2, "");
-    let mut whole = Vec::new();
-    Terminal::default().publish(&mut whole, 7, "issue.f", 1_500, 70, false, b"body");
-    for cut in 0..whole.len() {
-        let conn = y.desks[0].conn.unwrap();
-        y.desks[0].net.write(conn, &whole[..cut]);
-        y.pass(20);
-        y.desks[0].net.reset(conn);
-        y.pass(20);
-        y.connect(0);
-        y.ready();
+fn a_connection_is_reset_at_every_byte_of_a_publish() {
+    let mut fixture = new_fixture(&[Behavior::Answers], 2, "");
+    let mut publish_frames = Vec::new();
+    Terminal::default().publish(&mut publish_frames, 7, "issue.f", 1_500, 70, false, b"body");
+    for length in 0..publish_frames.len() {
+        let conn = fixture.publishers[0].conn.unwrap();
+        fixture.publishers[0]
+            .net
+            .write(conn, &publish_frames[..length]);
+        fixture.run_for(20);
+        fixture.publishers[0].net.reset(conn);
+        fixture.run_for(20);
+        fixture.connect(0);
+        fixture.wait_for_logins();
     }
-    assert_eq!(y.launches(), 0);
-    y.publish(1, 8, "check.f", 1_500, 80);
-    y.pass(5_000);
-    assert_eq!(y.words(1, 8), ["handled"]);
+    assert_eq!(fixture.launches(), 0);
+    fixture.publish(1, 8, "check.f", 1_500, 80);
+    fixture.run_for(5_000);
+    assert_eq!(fixture.dispositions(1, 8), ["handled"]);
 }
 
 #[test]
-fn a_wrong_password_is_refused_and_others_serve_on() {
-    let mut y = yard(&[Behavior::Answers], 1, "");
-    y.site.client.role = "raw";
+fn a_wrong_password_is_refused_and_others_are_served() {
+    let mut fixture = new_fixture(&[Behavior::Answers], 1, "");
+    fixture.site.client.role = "raw";
     let mut out = tidewall_amqp::codec::PROTOCOL_HEADER.to_vec();
-    let m = tidewall_amqp::codec::FrameWriter::method(
+    let start_ok = tidewall_amqp::codec::FrameWriter::method(
         &mut out,
         0,
         tidewall_amqp::codec::MethodId::new(10, 11),
     );
-    m.long_str(b"")
+    start_ok
+        .long_str(b"")
         .short_str("PLAIN")
         .long_str(b"\0terminal\0guess")
         .short_str("en_US")
         .finish();
-    let conn = y.site.client.net.connect(address(DOOR), 10_000);
-    y.site.client.net.write(conn, &out);
+    let conn = fixture
+        .site
+        .client
+        .net
+        .connect(address(INGRESS_ADDRESS), 10_000);
+    fixture.site.client.net.write(conn, &out);
     for _ in 0..200 {
-        y.pass(200);
+        fixture.run_for(200);
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
-    y.publish(0, 7, "check.f", 1_500, 70);
-    y.pass(5_000);
-    assert_eq!(y.words(0, 7), ["handled"]);
-    let launches = y.site.workers[0]
+    fixture.publish(0, 7, "check.f", 1_500, 70);
+    fixture.run_for(5_000);
+    assert_eq!(fixture.dispositions(0, 7), ["handled"]);
+    let launches = fixture.site.workers[0]
         .received_frames
         .iter()
-        .filter(|g| g.kind == kind::LAUNCH)
+        .filter(|frame| frame.kind == kind::LAUNCH)
         .count();
     assert_eq!(launches, 1);
 }
 
-/// A thousand logins at once wait on their own thread; events of those who are in are answered meanwhile.
+/// A thousand logins at once wait for the thread that checks passwords; requests of connections that are
+/// logged in are answered meanwhile.
 #[test]
-fn a_storm_of_logins_does_not_stop_events() {
-    let mut y = yard(&[Behavior::Answers], 1, "logins: 20");
-    let mut net = y.site.client.net.clone();
-    y.site.client.role = "raw";
+fn many_logins_at_once_do_not_delay_requests() {
+    let mut fixture = new_fixture(&[Behavior::Answers], 1, "logins: 20");
+    let mut net = fixture.site.client.net.clone();
+    fixture.site.client.role = "raw";
     let mut out = tidewall_amqp::codec::PROTOCOL_HEADER.to_vec();
-    let m = tidewall_amqp::codec::FrameWriter::method(
+    let start_ok = tidewall_amqp::codec::FrameWriter::method(
         &mut out,
         0,
         tidewall_amqp::codec::MethodId::new(10, 11),
     );
-    m.long_str(b"")
+    start_ok
+        .long_str(b"")
         .short_str("PLAIN")
         .long_str(b"\0nobody\0x")
         .short_str("en_US")
         .finish();
     for _ in 0..1_000 {
-        let conn = net.connect(address(DOOR), 10_000);
+        let conn = net.connect(address(INGRESS_ADDRESS), 10_000);
         net.write(conn, &out);
     }
-    for evt in 0..20 {
-        y.publish(0, evt, "check.f", 1_500, evt + 1);
-        y.pass(500);
+    for event in 0..20 {
+        fixture.publish(0, event, "check.f", 1_500, event + 1);
+        fixture.run_for(500);
     }
-    y.pass(5_000);
-    assert!((0..20).all(|evt| y.words(0, evt) == ["handled"]));
+    fixture.run_for(5_000);
+    assert!((0..20).all(|event| fixture.dispositions(0, event) == ["handled"]));
 }
 
-/// One that asks for more than it may have in hand is not read meanwhile, and loses nothing.
+/// A connection that publishes beyond its limit of pending requests is not read for a while, and loses no
+/// request.
 #[test]
-fn beyond_its_debts_a_connection_is_not_read() {
-    let mut y = yard(
+fn a_connection_at_its_limit_of_pending_requests_is_not_read() {
+    let mut fixture = new_fixture(
         &[Behavior::AnswersAfter(1_000), Behavior::AnswersAfter(1_000)],
         1,
         "in_hand: 4",
     );
-    for evt in 0..40 {
-        y.publish(0, evt, "check.f", 1_900, evt + 1);
-        y.pass(3);
+    for event in 0..40 {
+        fixture.publish(0, event, "check.f", 1_900, event + 1);
+        fixture.run_for(3);
     }
     assert!(
-        y.site.gateway.requests_in_flight() <= 5,
+        fixture.site.gateway.requests_in_flight() <= 5,
         "{}",
-        y.site.gateway.requests_in_flight()
+        fixture.site.gateway.requests_in_flight()
     );
-    y.pass(200_000);
-    assert!((0..40).all(|evt| y.words(0, evt).len() == 1));
-    assert_eq!(y.confirms(0).len(), 40);
+    fixture.run_for(200_000);
+    assert!((0..40).all(|event| fixture.dispositions(0, event).len() == 1));
+    assert_eq!(fixture.confirms(0).len(), 40);
 }
 
-/// A repeat joins the event in hand, which may end after the repeat's own time.
+/// A repeat joins the request in flight, which may end after the repeat's own deadline.
 #[test]
-fn a_repeat_with_less_time_is_answered_in_its_own_time() {
-    let mut y = yard(&[Behavior::AnswersAfter(12_000)], 1, "");
-    y.publish(0, 7, "issue.f", 1_900, 70);
-    y.pass(1_000);
-    y.publish(0, 8, "issue.f", 400, 70);
-    y.pass(4_000);
-    assert_eq!(y.words(0, 8), ["dead-lettered"], "its client gives up now");
-    y.pass(20_000);
+fn a_repeat_with_less_time_is_answered_by_its_own_deadline() {
+    let mut fixture = new_fixture(&[Behavior::AnswersAfter(12_000)], 1, "");
+    fixture.publish(0, 7, "issue.f", 1_900, 70);
+    fixture.run_for(1_000);
+    fixture.publish(0, 8, "issue.f", 400, 70);
+    fixture.run_for(4_000);
+    assert_eq!(
+        fixture.dispositions(0, 8),
+        ["dead-lettered"],
+        "its client stops waiting now"
+    );
+    fixture.run_for(20_000);
     assert_eq!(
-        (y.words(0, 7).len(), y.words(0, 8).len(), y.launches()),
+        (
+            fixture.dispositions(0, 7).len(),
+            fixture.dispositions(0, 8).len(),
+            fixture.launches()
+        ),
         (1, 1, 1)
     );
 }
 
-/// The memory of a message-id was given up with the answer that came too late: the next try ran it again.
-#[test_case("issue", 1, "dead-lettered"; "at most once is not run again")]
-#[test_case("record", 1, "dead-lettered"; "keyed neither: nobody knows where it ran")]
-#[test_case("check", 2, "handled"; "redeliverable is")]
-fn an_event_whose_time_passed_in_a_standstill_is_remembered(
-    typ: &str,
+/// Guards against losing a message-id together with an answer that came too late: the next repeat would be
+/// executed again.
+#[test_case("issue", 1, "dead-lettered"; "at most once is not executed again")]
+#[test_case("record", 1, "dead-lettered"; "keyed is not executed again, as it is unknown where it was executed")]
+#[test_case("check", 2, "handled"; "redeliverable is executed again")]
+fn a_request_that_expired_in_a_standstill_is_recorded(
+    event_type: &str,
     launches: usize,
-    word: &str,
+    disposition: &str,
 ) {
-    let mut y = yard(&[Behavior::AnswersAfter(3_000)], 1, "");
-    y.publish(0, 7, &format!("{typ}.f"), 1_500, 70);
-    y.pass(100);
-    y.site.gateway_net.still(true);
-    y.pass(18_000);
-    y.site.gateway_net.still(false);
-    y.pass(1_000);
-    assert!(y.words(0, 7).is_empty(), "its client had given up");
-    y.publish(0, 8, &format!("{typ}.f"), 1_500, 70);
-    y.pass(10_000);
-    assert_eq!((y.launches(), y.words(0, 8)), (launches, vec![word]));
+    let mut fixture = new_fixture(&[Behavior::AnswersAfter(3_000)], 1, "");
+    fixture.publish(0, 7, &format!("{event_type}.f"), 1_500, 70);
+    fixture.run_for(100);
+    fixture.site.gateway_net.still(true);
+    fixture.run_for(18_000);
+    fixture.site.gateway_net.still(false);
+    fixture.run_for(1_000);
+    assert!(
+        fixture.dispositions(0, 7).is_empty(),
+        "its client had stopped waiting"
+    );
+    fixture.publish(0, 8, &format!("{event_type}.f"), 1_500, 70);
+    fixture.run_for(10_000);
+    assert_eq!(
+        (fixture.launches(), fixture.dispositions(0, 8)),
+        (launches, vec![disposition])
+    );
 }
 
-/// A repeat with more time than the event that it joined was forgotten with it.
+/// Guards against dropping a repeat together with the request that it joined, although the repeat had more
+/// time left.
 #[test]
-fn a_repeat_whose_event_passed_its_time_in_a_standstill_is_answered() {
-    let mut y = yard(&[Behavior::AnswersAfter(12_000)], 1, "");
-    y.publish(0, 7, "issue.f", 1_000, 70);
-    y.pass(3_000);
-    y.publish(0, 8, "issue.f", 1_900, 70);
-    y.pass(100);
-    y.site.gateway_net.still(true);
-    y.pass(12_000);
-    y.site.gateway_net.still(false);
-    y.pass(1_000);
+fn a_repeat_of_a_request_that_expired_in_a_standstill_is_answered() {
+    let mut fixture = new_fixture(&[Behavior::AnswersAfter(12_000)], 1, "");
+    fixture.publish(0, 7, "issue.f", 1_000, 70);
+    fixture.run_for(3_000);
+    fixture.publish(0, 8, "issue.f", 1_900, 70);
+    fixture.run_for(100);
+    fixture.site.gateway_net.still(true);
+    fixture.run_for(12_000);
+    fixture.site.gateway_net.still(false);
+    fixture.run_for(1_000);
     assert_eq!(
-        (y.words(0, 7).len(), y.words(0, 8)),
+        (fixture.dispositions(0, 7).len(), fixture.dispositions(0, 8)),
         (0, vec!["dead-lettered"])
     );
-    y.pass(20_000);
-    assert_eq!((y.words(0, 8).len(), y.launches()), (1, 1));
+    fixture.run_for(20_000);
+    assert_eq!(
+        (fixture.dispositions(0, 8).len(), fixture.launches()),
+        (1, 1)
+    );
 }
 
-/// The native door does not take what may have lain unread for more than a quarter of its time; this one did.
+/// Guards against accepting a publish that may have waited unread for more than a quarter of its time. The
+/// ingress of the native protocol does not accept these either.
 #[test]
-fn a_publish_that_may_have_waited_past_its_time_is_not_taken() {
-    let mut y = yard(&[Behavior::Answers], 1, "");
-    y.site.gateway_net.still(true);
-    y.publish(0, 7, "check.f", 500, 70);
-    y.publish(0, 8, "check.f", 1_900, 80);
-    y.pass(4_000);
-    y.site.gateway_net.still(false);
-    y.pass(10_000);
+fn a_publish_that_may_have_waited_too_long_is_not_accepted() {
+    let mut fixture = new_fixture(&[Behavior::Answers], 1, "");
+    fixture.site.gateway_net.still(true);
+    fixture.publish(0, 7, "check.f", 500, 70);
+    fixture.publish(0, 8, "check.f", 1_900, 80);
+    fixture.run_for(4_000);
+    fixture.site.gateway_net.still(false);
+    fixture.run_for(10_000);
     assert_eq!(
-        (y.words(0, 7), y.words(0, 8)),
+        (fixture.dispositions(0, 7), fixture.dispositions(0, 8)),
         (vec!["turned-away"], vec!["handled"])
     );
 }
 
-/// What a deferral tells is at least a millisecond, the unit of the door, and never none.
+/// A rejection always gives a time to retry after, of at least a millisecond, which is the unit of AMQP.
 #[test]
-fn a_deferral_says_when_to_come_back() {
-    let mut y = yard(&[Behavior::Nothing], 1, "");
-    y.publish(0, 7, "check.f", 700, 70);
-    y.pass(10_000);
-    assert_eq!(y.words(0, 7), ["deferred"]);
+fn a_rejection_gives_a_time_to_retry_after() {
+    let mut fixture = new_fixture(&[Behavior::Nothing], 1, "");
+    fixture.publish(0, 7, "check.f", 700, 70);
+    fixture.run_for(10_000);
+    assert_eq!(fixture.dispositions(0, 7), ["deferred"]);
     assert!(
-        y.desks[0].told.answers.iter().any(|a| a.0 == 7 && a.2 > 0),
+        fixture.publishers[0]
+            .observed
+            .answers
+            .iter()
+            .any(|a| a.0 == 7 && a.2 > 0),
         "{:?}",
-        y.desks[0].told.answers
+        fixture.publishers[0].observed.answers
     );
 }
 
 #[test_case("check"; "redeliverable")]
 #[test_case("issue"; "at most once")]
-fn what_has_no_hope_is_answered_early_by_the_amqp_door(typ: &str) {
-    let mut y = yard(&[], 1, "");
-    y.publish(0, 7, &format!("{typ}.f"), 1_900, 70);
-    y.pass(800);
-    assert_eq!(y.words(0, 7), ["deferred"]);
+fn a_request_without_any_worker_is_answered_early(event_type: &str) {
+    let mut fixture = new_fixture(&[], 1, "");
+    fixture.publish(0, 7, &format!("{event_type}.f"), 1_900, 70);
+    fixture.run_for(800);
+    assert_eq!(fixture.dispositions(0, 7), ["deferred"]);
     assert!(
-        y.desks[0].told.answers.iter().all(|a| a.2 > 0),
+        fixture.publishers[0]
+            .observed
+            .answers
+            .iter()
+            .all(|a| a.2 > 0),
         "{:?}",
-        y.desks[0].told.answers
+        fixture.publishers[0].observed.answers
     );
 }
