--- a/crates/tidewall-amqp/src/codec.rs
+++ b/crates/tidewall-amqp/src/codec.rs
@@ -1,5 +1,6 @@
-//! Frames, method arguments, field tables and content properties (sections 4.2.2 to 4.2.6). Decoding borrows from the
-//! bytes that came; encoding appends to a buffer that is kept: neither allocates once the buffer has grown.
+//! Frames, method arguments, field tables and content properties (sections 4.2.2 to 4.2.6). Decoding borrows
+//! from the received bytes, and encoding appends to a buffer of the caller. Neither allocates once that
+//! buffer is large enough.
 mod arguments;
 mod ids;
 mod properties;
@@ -30,31 +31,31 @@
 /// The smallest frame-max that may be negotiated, in octets (4.2.3, frame-min-size).
 pub const FRAME_MIN_SIZE: u32 = 4096;
 
-/// What a client sends first (4.2.2).
+/// The protocol header, which a client sends first (4.2.2).
 pub const PROTOCOL_HEADER: [u8; 8] = *b"AMQP\x00\x00\x09\x01";
 
 /// Octets of a frame before its payload: type, channel and size.
 const FRAME_HEAD: usize = 7;
 
-/// Octets of a frame beside its payload: the head and the end octet.
+/// Octets of a frame besides its payload: the head and the end octet.
 pub const FRAME_OVERHEAD: usize = FRAME_HEAD + 1;
 
 fn syntax_error(text: &str) -> ProtocolError {
     ProtocolError::new(reply_code::SYNTAX_ERROR, text)
 }
 
-/// A frame whose payload is not decoded.
+/// A frame with its payload still encoded.
 pub struct Frame<'a> {
     /// One of [`FRAME_METHOD`], [`FRAME_HEADER`], [`FRAME_BODY`] and [`FRAME_HEARTBEAT`].
     pub frame_type: u8,
-    /// Channel number; 0 is the connection itself.
+    /// Channel number; 0 stands for the connection itself.
     pub channel: u16,
-    /// What stands between head and end octet.
+    /// The octets between the head and the end octet.
     pub payload: &'a [u8],
 }
 
-/// The frame at the start of what was read, with the number of bytes that it takes; `None` while it is incomplete. The
-/// size is checked before the payload has come.
+/// Decodes the frame at the start of `bytes` and returns it with its length in bytes, or `None` if it is
+/// incomplete. The size is checked before the payload has arrived.
 ///
 /// # Errors
 /// FRAME_ERROR for an unknown type, a size over `frame_max`, or a wrong end octet.
--- a/crates/tidewall-amqp/src/codec/arguments.rs
+++ b/crates/tidewall-amqp/src/codec/arguments.rs
@@ -1,23 +1,24 @@
-//! Reading of method arguments and properties (section 4.2.5).
+//! Decoding of method arguments and properties (section 4.2.5).
 use super::table::FieldTable;
 use super::{syntax_error, MethodId};
 use crate::ProtocolError;
 
-/// Bits of an octet.
+/// Bits in an octet.
 const BITS: u8 = 8;
 
-/// Arguments of a method, read one after the other. Each call fails with SYNTAX_ERROR where the payload ends too early.
+/// Reads the arguments of a method one after the other. Each call fails with SYNTAX_ERROR if the payload is
+/// too short.
 #[derive(Clone)]
 pub struct ArgumentReader<'a> {
     bytes: &'a [u8],
-    /// Consecutive bits share an octet (4.2.5.2); this is the latest.
+    /// The octet from which bits are read; consecutive bits share one (4.2.5.2).
     bit_octet: u8,
-    /// Bits of it that were read; 8 starts a new octet.
+    /// Number of bits of `bit_octet` that were read. At 8 the next bit is read from a new octet.
     bits_read: u8,
 }
 
 impl<'a> ArgumentReader<'a> {
-    /// Reads from the start of `bytes`.
+    /// A reader at the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> ArgumentReader<'a> {
         ArgumentReader {
             bytes,
@@ -34,33 +35,33 @@
         Ok(taken)
     }
 
-    /// Octets that were not read.
+    /// Number of octets that were not read yet.
     pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
 
-    /// What was not read.
+    /// The octets that were not read yet.
     pub(super) fn rest(&self) -> &'a [u8] {
         self.bytes
     }
 
-    /// Class and method, with which the payload of a method frame begins (4.2.4).
+    /// The class and method numbers at the start of a method frame's payload (4.2.4).
     pub fn method_id(&mut self) -> Result<MethodId, ProtocolError> {
         Ok(MethodId::new(self.short()?, self.short()?))
     }
 
-    /// Unsigned 8 bits.
+    /// An unsigned integer of 8 bits.
     pub fn octet(&mut self) -> Result<u8, ProtocolError> {
         Ok(self.take(1)?[0])
     }
 
-    /// Unsigned 16 bits.
+    /// An unsigned integer of 16 bits.
     pub fn short(&mut self) -> Result<u16, ProtocolError> {
         let octets = self.take(2)?;
         Ok(u16::from_be_bytes([octets[0], octets[1]]))
     }
 
-    /// Unsigned 32 bits.
+    /// An unsigned integer of 32 bits.
     pub fn long(&mut self) -> Result<u32, ProtocolError> {
         let octets = self.take(4)?;
         Ok(u32::from_be_bytes([
@@ -68,13 +69,13 @@
         ]))
     }
 
-    /// Unsigned 64 bits.
+    /// An unsigned integer of 64 bits.
     pub fn long_long(&mut self) -> Result<u64, ProtocolError> {
         let (high, low) = (self.long()?, self.long()?);
         Ok(u64::from(high) << 32 | u64::from(low))
     }
 
-    /// One bit; consecutive ones come from the same octet, lowest first.
+    /// One bit. Consecutive bits are read from the same octet, lowest first.
     pub fn bit(&mut self) -> Result<bool, ProtocolError> {
         if self.bits_read == BITS {
             self.bit_octet = self.octet()?;
@@ -85,20 +86,20 @@
         Ok(bit)
     }
 
-    /// Up to 255 octets of UTF-8; other octets are a SYNTAX_ERROR.
+    /// A string of up to 255 octets; SYNTAX_ERROR if it is not UTF-8.
     pub fn short_str(&mut self) -> Result<&'a str, ProtocolError> {
         let length = self.octet()? as usize;
         std::str::from_utf8(self.take(length)?)
             .map_err(|_| syntax_error("a short string is not UTF-8"))
     }
 
-    /// Any octets, up to the frame's end.
+    /// A string of any octets, as long as the payload allows.
     pub fn long_str(&mut self) -> Result<&'a [u8], ProtocolError> {
         let length = self.long()? as usize;
         self.take(length)
     }
 
-    /// A field table, checked throughout, so that reading its fields cannot fail.
+    /// A field table. All of it is validated, so that reading its fields cannot fail later.
     pub fn table(&mut self) -> Result<FieldTable<'a>, ProtocolError> {
         FieldTable::decode(self.long_str()?)
     }
--- a/crates/tidewall-amqp/src/codec/ids.rs
+++ b/crates/tidewall-amqp/src/codec/ids.rs
@@ -1,7 +1,8 @@
-//! Numbers of classes and methods (section 1.2 and the class reference), with the extensions that clients in use expect:
-//! `connection.blocked`, `connection.update-secret`, exchange bindings, `basic.nack` and class confirm.
+//! Numbers of classes and methods (section 1.2 and the class reference), with the extensions that common
+//! clients expect: `connection.blocked`, `connection.update-secret`, exchange bindings, `basic.nack` and
+//! class confirm.
 
-/// A method by the numbers of its class and itself.
+/// A method, identified by the numbers of its class and of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MethodId {
     /// See [`class`].
@@ -11,7 +12,7 @@
 }
 
 impl MethodId {
-    /// The method of these numbers, known or not.
+    /// The method with these numbers, whether the server knows it or not.
     pub const fn new(class: u16, method: u16) -> MethodId {
         MethodId { class, method }
     }
--- a/crates/tidewall-amqp/src/codec/properties.rs
+++ b/crates/tidewall-amqp/src/codec/properties.rs
@@ -5,38 +5,39 @@
 use super::writer::FrameWriter;
 use crate::ProtocolError;
 
-/// The properties of class basic, in the order of their flags. An empty text or 0 is a property that is absent.
+/// The properties of class basic, in the order of their flags. An empty string or 0 means that the property
+/// is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BasicProperties<'a> {
     /// MIME type of the body.
     pub content_type: &'a str,
     /// MIME encoding of the body.
     pub content_encoding: &'a str,
-    /// Headers of the application.
+    /// The headers table.
     pub headers: Option<FieldTable<'a>>,
     /// 1 for transient, 2 for persistent.
     pub delivery_mode: u8,
-    /// 0 to 9; higher ones are delivered first.
+    /// 0 to 9; messages of higher priority are delivered first.
     pub priority: u8,
-    /// Names the request to the one who gets the reply.
+    /// Lets the receiver of a reply find the request that it belongs to.
     pub correlation_id: &'a str,
-    /// Queue that the reply goes to.
+    /// Queue to which the reply is sent.
     pub reply_to: &'a str,
-    /// Time to live in milliseconds, as text.
+    /// Time to live in milliseconds, as a decimal string.
     pub expiration: &'a str,
-    /// Names the message.
+    /// Identifies the message.
     pub message_id: &'a str,
     /// Seconds since 1970.
     pub timestamp: Option<u64>,
     /// The property `type`.
     pub message_type: &'a str,
-    /// Who published; must be the user that is logged in.
+    /// The publishing user; must be the user that is logged in.
     pub user_id: &'a str,
-    /// Names the application that published.
+    /// Identifies the publishing application.
     pub app_id: &'a str,
 }
 
-/// Bits of the property flags; the property comes first whose bit is highest.
+/// Bits of the property flags. Properties are encoded in the order of their bits, highest first.
 mod flag {
     pub const CONTENT_TYPE: u16 = 1 << 15;
     pub const CONTENT_ENCODING: u16 = 1 << 14;
@@ -51,9 +52,9 @@
     pub const MESSAGE_TYPE: u16 = 1 << 5;
     pub const USER_ID: u16 = 1 << 4;
     pub const APP_ID: u16 = 1 << 3;
-    /// Reserved by the specification, formerly cluster-id; read and dropped.
+    /// Reserved by the specification, which called it cluster-id in earlier versions; it is read and ignored.
     pub const CLUSTER_ID: u16 = 1 << 2;
-    /// Another word of flags follows, which class basic does not have.
+    /// Another 16 bits of flags follow, which class basic does not have.
     pub const CONTINUED: u16 = 1;
 }
 
@@ -62,18 +63,18 @@
 pub struct ContentHeader<'a> {
     /// Class of the method that the content belongs to.
     pub class: u16,
-    /// Octets of the body.
+    /// Size of the body in octets.
     pub body_size: u64,
     /// The properties, decoded.
     pub properties: BasicProperties<'a>,
-    /// The properties as they came.
+    /// The properties as they were received.
     pub encoded_properties: &'a [u8],
 }
 
 /// Decodes the payload of a content header frame.
 ///
 /// # Errors
-/// SYNTAX_ERROR where it is malformed.
+/// SYNTAX_ERROR if it is malformed.
 pub fn decode_content_header(payload: &[u8]) -> Result<ContentHeader<'_>, ProtocolError> {
     let mut arguments = ArgumentReader::new(payload);
     let class = arguments.short()?;
@@ -88,10 +89,10 @@
     })
 }
 
-/// Decodes properties, which must end the payload.
+/// Decodes properties, which must reach to the end of the payload.
 ///
 /// # Errors
-/// SYNTAX_ERROR where they are malformed or something follows.
+/// SYNTAX_ERROR if they are malformed or octets follow them.
 pub fn decode_properties<'a>(
     arguments: &mut ArgumentReader<'a>,
 ) -> Result<BasicProperties<'a>, ProtocolError> {
@@ -107,7 +108,7 @@
             Ok("")
         }
     };
-    // The fields are read in the order in which they stand here.
+    // The fields are evaluated in this order, which is that of the encoding.
     let properties = BasicProperties {
         content_type: text(arguments, flag::CONTENT_TYPE)?,
         content_encoding: text(arguments, flag::CONTENT_ENCODING)?,
@@ -159,13 +160,13 @@
         (flag::USER_ID, !properties.user_id.is_empty()),
         (flag::APP_ID, !properties.app_id.is_empty()),
     ];
-    // Without a branch for each: this is done for every message.
+    // Computed without a branch for each property, as every message that is encoded comes through here.
     present.iter().fold(0, |flags, (flag, present)| {
         flags | (flag * u16::from(*present))
     })
 }
 
-/// Appends encoded properties, flags first.
+/// Appends the property flags and the encoded properties.
 pub fn encode_properties(output: &mut Vec<u8>, properties: &BasicProperties) {
     let mut writer = FrameWriter::unframed(output).short(flags_of(properties));
     for text in [properties.content_type, properties.content_encoding] {
--- a/crates/tidewall-amqp/src/codec/table.rs
+++ b/crates/tidewall-amqp/src/codec/table.rs
@@ -4,10 +4,11 @@
 use super::writer::FrameWriter;
 use crate::ProtocolError;
 
-/// Tables and arrays may be nested this deep: far beyond any use, and far from the end of the stack.
+/// Limit of the nesting of tables and arrays: far more than clients use, and far too little to overflow the
+/// stack.
 const MAX_DEPTH: usize = 16;
 
-/// A field table, still encoded, without its length.
+/// An encoded field table, without its length.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FieldTable<'a>(pub &'a [u8]);
 
@@ -24,16 +25,16 @@
     Float(f64),
     /// Type `D`.
     Decimal {
-        /// Digits behind the decimal point.
+        /// Number of digits after the decimal point.
         scale: u8,
-        /// The digits as a whole number.
+        /// All digits as an integer.
         digits: u32,
     },
-    /// Type `S`; clients send UTF-8, nothing enforces it.
+    /// Type `S`. Clients send UTF-8, but nothing enforces it.
     LongString(&'a [u8]),
     /// Type `x`.
     Bytes(&'a [u8]),
-    /// Type `A`: values, each with its type octet in front.
+    /// Type `A`: encoded values, each preceded by its type octet.
     Array(&'a [u8]),
     /// Type `F`.
     Table(FieldTable<'a>),
@@ -44,7 +45,7 @@
 }
 
 impl<'a> FieldTable<'a> {
-    /// Checks an encoded table.
+    /// Validates an encoded table.
     pub(super) fn decode(bytes: &'a [u8]) -> Result<FieldTable<'a>, ProtocolError> {
         FieldTable::check(bytes, 0)?;
         Ok(FieldTable(bytes))
@@ -77,14 +78,14 @@
         }
     }
 
-    /// The first value of that name.
+    /// The first value with this name.
     pub fn get(&self, name: &str) -> Option<FieldValue<'a>> {
         self.iter()
             .find(|field| field.0 == name)
             .map(|field| field.1)
     }
 
-    /// Names and values in the order of the encoding; ends early where the encoding is malformed.
+    /// Names and values in the order of the encoding; ends early if the encoding is malformed.
     pub fn iter(&self) -> impl Iterator<Item = (&'a str, FieldValue<'a>)> {
         let mut fields = ArgumentReader::new(self.0);
         std::iter::from_fn(move || {
@@ -95,8 +96,8 @@
     }
 }
 
-/// The field types of the grammar as they are in common use: where the specification of 0-9-1 and its errata
-/// differ ('s' as short-short string), the errata's signed 16 bits are meant, as all clients in use send it.
+/// Reads a type octet and a value. The types are those in common use: the specification of 0-9-1 defines `s`
+/// as a short string and its errata as a signed integer of 16 bits, which is what all common clients send.
 fn read_value<'a>(fields: &mut ArgumentReader<'a>) -> Result<FieldValue<'a>, ProtocolError> {
     Ok(match fields.octet()? {
         b't' => FieldValue::Boolean(fields.octet()? != 0),
@@ -123,12 +124,13 @@
     })
 }
 
-/// Passes over one value with its type octet; `None` where it is malformed.
+/// Skips a type octet and a value; `None` if they are malformed.
 pub fn skip_value(fields: &mut ArgumentReader) -> Option<()> {
     read_value(fields).ok().map(|_| ())
 }
 
-/// The fields of a table in the making, encoded and without the table's length. A nested table is made first.
+/// Encodes the fields of a table, without the table's length. A nested table is encoded before its outer
+/// table.
 #[derive(Default)]
 pub struct TableWriter(pub Vec<u8>);
 
@@ -140,7 +142,7 @@
             .raw(value);
     }
 
-    /// A value with its length in front.
+    /// Adds a value preceded by its length.
     fn sized_field(&mut self, name: &str, field_type: u8, value: &[u8]) {
         let _ = FrameWriter::unframed(&mut self.0)
             .short_str(name)
@@ -148,7 +150,7 @@
             .long_str(value);
     }
 
-    /// Adds a text, type `S`.
+    /// Adds a string, type `S`.
     pub fn long_string(&mut self, name: &str, value: &str) {
         self.sized_field(name, b'S', value.as_bytes());
     }
@@ -168,12 +170,12 @@
         self.field(name, b'T', &seconds.to_be_bytes());
     }
 
-    /// Adds a nested table, type `F`: what another writer holds.
+    /// Adds a nested table, type `F`, whose fields another writer has encoded.
     pub fn table(&mut self, name: &str, fields: &[u8]) {
         self.sized_field(name, b'F', fields);
     }
 
-    /// Adds an array, type `A`, of values that each have their type octet in front.
+    /// Adds an array, type `A`, of encoded values, each preceded by its type octet.
     pub fn array(&mut self, name: &str, values: &[u8]) {
         self.sized_field(name, b'A', values);
     }
--- a/crates/tidewall-amqp/src/codec/writer.rs
+++ b/crates/tidewall-amqp/src/codec/writer.rs
@@ -1,18 +1,18 @@
-//! Writing of frames.
+//! Encoding of frames.
 use super::ids::{class, MethodId};
 use super::{
     FRAME_BODY, FRAME_END, FRAME_HEAD, FRAME_HEADER, FRAME_HEARTBEAT, FRAME_METHOD, FRAME_OVERHEAD,
 };
 
-/// Bits of an octet.
+/// Bits in an octet.
 const BITS: u8 = 8;
 
-/// Appends one frame to a buffer; the size is filled in by [`FrameWriter::finish`].
+/// Appends one frame to a buffer; [`FrameWriter::finish`] fills in its size.
 pub struct FrameWriter<'a> {
     output: &'a mut Vec<u8>,
-    /// Where the frame begins.
+    /// Index in `output` at which the frame begins.
     start: usize,
-    /// Bits written to the last octet; 8 starts a new one.
+    /// Number of bits written to the last octet. At 8 the next bit starts a new octet.
     bits_written: u8,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Appends values that are no frame; not to be finished.
+    /// Appends values outside a frame; `finish` must not be called.
     pub(super) fn unframed(output: &'a mut Vec<u8>) -> FrameWriter<'a> {
         FrameWriter {
             output,
@@ -38,36 +38,36 @@
         }
     }
 
-    /// Begins a method frame; the arguments follow.
+    /// Begins a method frame, to which the arguments are appended.
     pub fn method(output: &'a mut Vec<u8>, channel: u16, id: MethodId) -> FrameWriter<'a> {
         FrameWriter::frame(output, FRAME_METHOD, channel)
             .short(id.class)
             .short(id.method)
     }
 
-    /// Unsigned 8 bits.
+    /// Appends an unsigned integer of 8 bits.
     pub fn octet(mut self, value: u8) -> FrameWriter<'a> {
         self.bits_written = BITS;
         self.output.push(value);
         self
     }
 
-    /// Unsigned 16 bits.
+    /// Appends an unsigned integer of 16 bits.
     pub fn short(self, value: u16) -> FrameWriter<'a> {
         self.raw(&value.to_be_bytes())
     }
 
-    /// Unsigned 32 bits.
+    /// Appends an unsigned integer of 32 bits.
     pub fn long(self, value: u32) -> FrameWriter<'a> {
         self.raw(&value.to_be_bytes())
     }
 
-    /// Unsigned 64 bits.
+    /// Appends an unsigned integer of 64 bits.
     pub fn long_long(self, value: u64) -> FrameWriter<'a> {
         self.raw(&value.to_be_bytes())
     }
 
-    /// One bit; consecutive ones share an octet, lowest first (4.2.5.2).
+    /// Appends a bit. Consecutive bits share an octet, lowest first (4.2.5.2).
     pub fn bit(mut self, value: bool) -> FrameWriter<'a> {
         if self.bits_written == BITS {
             self.output.push(0);
@@ -80,7 +80,7 @@
         self
     }
 
-    /// At most 255 octets; what is beyond is cut at a character's end.
+    /// Appends a string. Only the characters that fit into 255 octets are written.
     pub fn short_str(mut self, value: &str) -> FrameWriter<'a> {
         let end = (0..=value.len().min(255))
             .rev()
@@ -92,12 +92,12 @@
         self
     }
 
-    /// Any octets with their length in front, up to 4 GiB.
+    /// Appends up to 4 GiB of octets, preceded by their length.
     pub fn long_str(self, value: &[u8]) -> FrameWriter<'a> {
         self.long(value.len() as u32).raw(value)
     }
 
-    /// Octets as they are.
+    /// Appends octets unchanged.
     #[inline]
     pub fn raw(mut self, value: &[u8]) -> FrameWriter<'a> {
         self.bits_written = BITS;
@@ -119,8 +119,8 @@
     FrameWriter::frame(output, FRAME_HEARTBEAT, 0).finish();
 }
 
-/// Appends a content to its method: a header with encoded properties, and the body in frames of at most `frame_max`
-/// octets (4.2.6).
+/// Appends the content that follows a method: a content header with encoded properties, and the body in
+/// frames of at most `frame_max` octets (4.2.6).
 pub fn write_content(
     output: &mut Vec<u8>,
     channel: u16,
@@ -135,9 +135,9 @@
         .long_long(body.len() as u64)
         .raw(properties)
         .finish();
-    for part in body.chunks(frame_max as usize - FRAME_OVERHEAD) {
+    for chunk in body.chunks(frame_max as usize - FRAME_OVERHEAD) {
         FrameWriter::frame(output, FRAME_BODY, channel)
-            .raw(part)
+            .raw(chunk)
             .finish();
     }
 }
--- a/crates/tidewall-amqp/src/error.rs
+++ b/crates/tidewall-amqp/src/error.rs
@@ -1,59 +1,60 @@
 //! Exceptions as section 1.2 of the specification defines them.
 use crate::codec::MethodId;
 
-/// An AMQP exception: what `connection.close` or `channel.close` says of it. The reply code decides which of the two
-/// is sent (see [`ProtocolError::closes_only_channel`]).
+/// An AMQP exception, with the arguments of the `connection.close` or `channel.close` that reports it. The
+/// reply code decides which of the two is sent (see [`ProtocolError::closes_only_channel`]).
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{reply_code} {reply_text} (class {class}, method {method})")]
 pub struct ProtocolError {
     /// One of the constants in [`reply_code`].
     pub reply_code: u16,
-    /// Sent to the client as it is; on the wire at most 255 octets of it.
+    /// Sent to the client unchanged, but at most 255 octets of it.
     pub reply_text: String,
-    /// Class of the method at fault, 0 where no method was.
+    /// Class of the method that caused the exception, or 0 if none did.
     pub class: u16,
-    /// The method at fault within its class, 0 where none was.
+    /// Number of that method within its class, or 0.
     pub method: u16,
 }
 
-/// The reply codes of section 1.2 that are used here.
+/// The reply codes of section 1.2 that the server uses.
 pub mod reply_code {
-    /// The body is larger than the server takes. Closes the channel.
+    /// The body is larger than the server accepts. Closes the channel.
     pub const CONTENT_TOO_LARGE: u16 = 311;
-    /// A mandatory message reached no queue; sent with `basic.return`.
+    /// A mandatory message was routed to no queue; sent with `basic.return`.
     pub const NO_ROUTE: u16 = 312;
     /// An operator closed the connection.
     pub const CONNECTION_FORCED: u16 = 320;
-    /// The client may not do this: login, reserved names, exclusive consumers. Closes the channel.
+    /// The client has no permission: a refused login, a reserved name, an exclusive consumer. Closes the
+    /// channel.
     pub const ACCESS_REFUSED: u16 = 403;
-    /// No such exchange or queue. Closes the channel.
+    /// The exchange or queue does not exist. Closes the channel.
     pub const NOT_FOUND: u16 = 404;
     /// The queue is exclusive to another connection. Closes the channel.
     pub const RESOURCE_LOCKED: u16 = 405;
-    /// Arguments that do not fit what exists. Closes the channel.
+    /// An argument or property that is invalid or does not fit what exists. Closes the channel.
     pub const PRECONDITION_FAILED: u16 = 406;
     /// A frame that cannot be decoded. Closes the connection.
     pub const FRAME_ERROR: u16 = 501;
     /// Arguments or a field table that cannot be decoded. Closes the connection.
     pub const SYNTAX_ERROR: u16 = 502;
-    /// An unknown method, or one out of its sequence. Closes the connection.
+    /// An unknown method, or one that is not allowed at this point. Closes the connection.
     pub const COMMAND_INVALID: u16 = 503;
-    /// A channel that is not open, open already, or out of range. Closes the connection.
+    /// The channel is not open, already open, or out of range. Closes the connection.
     pub const CHANNEL_ERROR: u16 = 504;
-    /// A frame that does not belong where it came, such as a body without a header. Closes the connection.
+    /// A frame that is not expected at this point, such as a body without a header. Closes the connection.
     pub const UNEXPECTED_FRAME: u16 = 505;
     /// The queues are full. Closes the connection.
     pub const RESOURCE_ERROR: u16 = 506;
-    /// No such virtual host, or a consumer tag in use. Closes the connection.
+    /// The virtual host does not exist, or the consumer tag is in use. Closes the connection.
     pub const NOT_ALLOWED: u16 = 530;
-    /// Something of the specification that this server does not offer. Closes the connection.
+    /// A feature of the specification that this server does not implement. Closes the connection.
     pub const NOT_IMPLEMENTED: u16 = 540;
     /// A request failed; sent with `basic.return`.
     pub const INTERNAL_ERROR: u16 = 541;
 }
 
 impl ProtocolError {
-    /// An exception that names no method yet.
+    /// An exception without a method.
     pub fn new(reply_code: u16, reply_text: impl Into<String>) -> ProtocolError {
         ProtocolError {
             reply_code,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The same exception with the method at fault.
+    /// The same exception, caused by this method.
     #[must_use]
     pub fn in_method(self, id: MethodId) -> ProtocolError {
         ProtocolError {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// True for a channel exception ("soft error"); every other code ends the connection.
+    /// True for a channel exception ("soft error"); every other code closes the connection.
     pub fn closes_only_channel(&self) -> bool {
         matches!(
             self.reply_code,
--- a/crates/tidewall-amqp/src/server.rs
+++ b/crates/tidewall-amqp/src/server.rs
@@ -1,11 +1,12 @@
-//! Connections and channels: methods of clients become calls of a virtual host and of [`ServerActions`], and messages
-//! are delivered to consumers. Exceptions are the specification's own: soft ones close their channel, hard ones the
-//! connection.
+//! Connections and channels. The server turns the methods of clients into calls of a virtual host and of
+//! [`ServerActions`], and delivers messages to consumers. Exceptions are those of the specification: a soft
+//! one closes its channel, a hard one the connection.
 //!
-//! One file a concern: `connection` negotiates, `channel` dispatches frames, `topology` declares exchanges and queues,
-//! `publish` takes content, `confirms` acknowledges it, `requests` answers publishes to the trigger exchange,
-//! `consumers` and `delivery` hand messages out, `acknowledgements` takes them back, `dead_letters` moves expired and
-//! rejected ones, `heartbeat` acts by the clock, `close` ends channels and connections.
+//! Each file has one concern: `connection` negotiates, `channel` dispatches frames, `topology` declares
+//! exchanges and queues, `publish` receives content, `confirms` sends publisher confirms, `requests` answers
+//! publishes to the trigger exchange, `consumers` and `delivery` deliver messages, `acknowledgements` handles
+//! their acknowledgements, `dead_letters` moves expired and rejected messages, `heartbeat` handles timeouts,
+//! and `close` closes channels and connections.
 mod acknowledgements;
 mod channel;
 mod close;
@@ -33,29 +34,30 @@
     ChannelAddress, Connection, ConnectionState, PendingRequest, PublishOrigin, QueueAddress,
 };
 
-/// The name with which a client asks for replies on its own channel, without a queue.
+/// The pseudo-queue by which a client receives replies directly on its channel, without a queue.
 const DIRECT_REPLY_TO: &str = "amq.rabbitmq.reply-to";
 
-/// What handling a frame may end with: an exception for the channel or the connection.
+/// The result of handling a frame; an error closes the channel or the connection.
 type MethodResult = Result<(), ProtocolError>;
 
 /// All connections of one listener, with the virtual hosts that they share.
 ///
-/// Time advances by [`Server::advance_clock`] alone, so it should be called before every other call.
+/// Time advances only by [`Server::advance_clock`], so the caller should call it before every other method.
 pub struct Server {
     config: ServerConfig,
     connections: Slab<Connection>,
     virtual_hosts: Vec<VirtualHost>,
     pending_requests: Slab<PendingRequest>,
-    /// Generations given to channels so far.
+    /// The last generation given to a channel.
     channel_generations: u64,
-    /// Queues that may have something for a consumer; the last one is looked at first.
+    /// Queues that may have a message to deliver; the last one is handled first.
     active_queues: Vec<QueueAddress>,
-    /// Publishes of abandoned requests: a nack is due.
+    /// Publishes of abandoned requests, for which a nack is to be sent.
     abandoned_publishes: Vec<PublishOrigin>,
-    /// Channels with acks of publishes to send.
+    /// Channels for which acks of publishes are to be sent.
     unsent_acks: Vec<ChannelAddress>,
-    /// Frames in the making; kept, so that writing allocates nothing once it has grown.
+    /// Frames that are being written. The buffer is reused, so that writing does not allocate once it is
+    /// large enough.
     output: Vec<u8>,
     now: Time,
     unroutable_replies: u64,
@@ -88,35 +90,36 @@
         }
     }
 
-    /// Sets the present time; an earlier one than before changes nothing.
+    /// Sets the current time. A time earlier than the last one is ignored.
     pub fn advance_clock(&mut self, now: Time) {
         self.now = self.now.max(now);
     }
 
-    /// A connection was accepted; gives the id by which it is known here. `transport` is the caller's own handle of it.
+    /// Adds a connection that was accepted and returns its id at the server. `transport` is the caller's
+    /// handle for it.
     pub fn connection_accepted(&mut self, transport: u64) -> usize {
         self.connections
             .insert(Connection::new(transport, &self.config, self.now))
     }
 
-    /// Connections that are open or being negotiated.
+    /// Number of connections, open or being negotiated.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Requests of all connections that have no final answer yet.
+    /// Number of requests without a final answer, of all connections.
     pub fn pending_request_count(&self) -> usize {
         self.pending_requests.len()
     }
 
-    /// Requests of one connection that have no final answer yet.
+    /// Number of requests of one connection without a final answer.
     pub fn pending_requests_of(&self, connection: usize) -> usize {
         self.connections
             .get(connection)
             .map_or(0, |connection| connection.pending_requests)
     }
 
-    /// Who logged in, once the connection is open.
+    /// The user that is logged in, once the connection is open.
     pub fn user(&self, connection: usize) -> Option<&str> {
         self.connections
             .get(connection)
@@ -124,7 +127,7 @@
             .map(|connection| connection.user.as_str())
     }
 
-    /// Bytes of messages that are ready for delivery, in all virtual hosts.
+    /// Size of the messages that are ready for delivery, in all virtual hosts.
     pub fn queued_bytes(&self) -> usize {
         self.virtual_hosts
             .iter()
@@ -132,12 +135,12 @@
             .sum()
     }
 
-    /// Replies so far that no queue or channel was there to take.
+    /// Number of replies so far for which the queue or channel did not exist.
     pub fn unroutable_replies(&self) -> u64 {
         self.unroutable_replies
     }
 
-    /// Channels and connections so far that an exception closed.
+    /// Number of exceptions so far.
     pub fn exception_count(&self) -> u64 {
         self.exception_count
     }
@@ -147,8 +150,8 @@
         &self.last_exception
     }
 
-    /// Takes what was read from a connection and gives the number of bytes consumed; the rest, an incomplete frame,
-    /// must come again with what follows it.
+    /// Handles bytes that were read from a connection and returns the number of bytes consumed. The rest is
+    /// an incomplete frame, which the caller must pass again together with the bytes that follow.
     pub fn receive<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -168,7 +171,7 @@
                     break;
                 }
                 if !rest.starts_with(&codec::PROTOCOL_HEADER) {
-                    // 4.2.2: the server answers with the protocol that it speaks and closes.
+                    // 4.2.2: the server answers with the protocol header that it supports and closes.
                     actions.write(state.transport, &codec::PROTOCOL_HEADER);
                     actions.close(state.transport);
                     self.connection_closed(connection);
@@ -196,7 +199,7 @@
         consumed
     }
 
-    /// Sends what is in `output`.
+    /// Sends the contents of `output`.
     fn write_output<A: ServerActions>(&mut self, actions: &mut A, connection: usize) {
         if let Some(connection) = self.connections.get_mut(connection) {
             connection.last_written = self.now;
--- a/crates/tidewall-amqp/src/server/acknowledgements.rs
+++ b/crates/tidewall-amqp/src/server/acknowledgements.rs
@@ -5,12 +5,12 @@
 use crate::{reply_code, ProtocolError};
 use std::collections::VecDeque;
 
-/// What becomes of a delivered message.
+/// The outcome of a delivery.
 #[derive(Clone, Copy, PartialEq)]
 enum Acknowledgement {
     Acknowledged,
     Requeued,
-    /// To the queue's dead-letter exchange, if it has one.
+    /// The message is published to the queue's dead-letter exchange, if there is one.
     Rejected,
 }
 
@@ -44,7 +44,7 @@
         let Some(channel) = self.channel_mut(from) else {
             return Ok(());
         };
-        // With `multiple` tag 0 means all, and none is no error.
+        // With `multiple`, tag 0 means all deliveries; it is no error if there are none.
         let all = delivery_tag == 0 && multiple;
         let mut deliveries = channel.unacknowledged.iter();
         if !all && !deliveries.any(|delivery| delivery.delivery_tag == delivery_tag) {
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Returns a delivered message to its queue, if that still exists.
+    /// Returns a delivered message to its queue, if the queue still exists.
     pub(super) fn requeue(&mut self, virtual_host: usize, delivery: Unacknowledged) {
         let host = &mut self.virtual_hosts[virtual_host];
         let queue = host.queue(delivery.queue);
--- a/crates/tidewall-amqp/src/server/channel.rs
+++ b/crates/tidewall-amqp/src/server/channel.rs
@@ -1,15 +1,15 @@
-//! Frames as they come, and the class channel (section 1.5).
+//! Dispatch of received frames, and class channel (section 1.5).
 use super::state::{Channel, ChannelAddress, ConnectionState};
 use super::{MethodResult, Server, ServerActions};
 use crate::codec::{self, class, method, ArgumentReader, Frame, MethodId};
 use crate::{reply_code, ProtocolError};
 
-/// An exception for a method that its class does not have.
+/// The exception for a method that does not exist in its class.
 pub(super) fn unknown_method() -> ProtocolError {
     ProtocolError::new(reply_code::COMMAND_INVALID, "the method is unknown")
 }
 
-/// An exception for a channel that was never opened, or is closed.
+/// The exception for a channel that was not opened or is closed.
 pub(super) fn channel_not_open(number: u16) -> ProtocolError {
     ProtocolError::new(
         reply_code::CHANNEL_ERROR,
@@ -26,7 +26,7 @@
     ) -> MethodResult {
         let state = &self.connections[connection];
         if state.state == ConnectionState::Closing {
-            // Only close-ok is still taken, and a close that crossed the server's own.
+            // Only close-ok is handled, and a close that the client sent before it received the server's.
             let closed = frame.frame_type == codec::FRAME_METHOD
                 && ArgumentReader::new(frame.payload)
                     .method_id()
@@ -96,7 +96,7 @@
             return Err(channel_not_open(from.number));
         };
         if channel.closing {
-            // 1.5.2.5 (channel.close): everything but close and close-ok is dropped until then.
+            // 1.5.2.5 (channel.close): until then, all methods but close and close-ok are discarded.
             if matches!(id, method::CHANNEL_CLOSE | method::CHANNEL_CLOSE_OK) {
                 if id == method::CHANNEL_CLOSE {
                     self.write_method(actions, from, method::CHANNEL_CLOSE_OK, |frame| frame);
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// A method on a channel that is open.
+    /// Handles a method on an open channel.
     fn channel_method<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -191,10 +191,10 @@
         }
     }
 
-    pub(super) fn channel_mut(&mut self, at: ChannelAddress) -> Option<&mut Channel> {
+    pub(super) fn channel_mut(&mut self, address: ChannelAddress) -> Option<&mut Channel> {
         self.connections
-            .get_mut(at.connection)?
+            .get_mut(address.connection)?
             .channels
-            .get_mut(&at.number)
+            .get_mut(&address.number)
     }
 }
--- a/crates/tidewall-amqp/src/server/close.rs
+++ b/crates/tidewall-amqp/src/server/close.rs
@@ -1,11 +1,11 @@
-//! The end of channels and connections, by an exception or otherwise.
+//! Closing of channels and connections, after an exception or otherwise.
 use super::state::{Channel, ChannelAddress, ConnectionState};
 use super::{Server, ServerActions};
 use crate::codec::{method, FrameWriter};
 use crate::{reply_code, ProtocolError};
 
 impl Server {
-    /// Closes the channel or the connection with the exception's reply code and text.
+    /// Closes the channel or the connection with the reply code and text of the exception.
     pub(super) fn raise_exception<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -18,7 +18,7 @@
         let Some(state) = self.connections.get_mut(connection) else {
             return;
         };
-        let arguments = |frame: FrameWriter<'_>| {
+        let write_exception = |frame: FrameWriter<'_>| {
             frame
                 .short(error.reply_code)
                 .short_str(&error.reply_text)
@@ -32,7 +32,7 @@
             && state.state == ConnectionState::Running
             && state.channels.contains_key(&channel)
         {
-            arguments(FrameWriter::method(
+            write_exception(FrameWriter::method(
                 &mut self.output,
                 channel,
                 method::CHANNEL_CLOSE,
@@ -49,11 +49,11 @@
         if state.state <= ConnectionState::AwaitingStartOk
             && error.reply_code == reply_code::FRAME_ERROR
         {
-            // Before the connection is established the specification has no close (2.2.4).
+            // The specification has no close before the connection is established (2.2.4).
             actions.close(state.transport);
             return self.connection_closed(connection);
         }
-        arguments(FrameWriter::method(
+        write_exception(FrameWriter::method(
             &mut self.output,
             0,
             method::CONNECTION_CLOSE,
@@ -65,10 +65,11 @@
         state.deadline_start = self.now;
     }
 
-    /// What the channel held is released; its number stays taken until the client confirms the close.
-    fn await_channel_close_ok(&mut self, at: ChannelAddress) {
-        self.release_channel(at);
-        if let Some(channel) = self.channel_mut(at) {
+    /// Releases the resources of the channel. Its number stays in use until the client sends
+    /// `channel.close-ok`.
+    fn await_channel_close_ok(&mut self, address: ChannelAddress) {
+        self.release_channel(address);
+        if let Some(channel) = self.channel_mut(address) {
             *channel = Channel {
                 generation: channel.generation,
                 closing: true,
@@ -78,9 +79,9 @@
     }
 
     /// Removes a channel's consumers and returns its unacknowledged messages to their queues.
-    pub(super) fn release_channel(&mut self, at: ChannelAddress) {
-        let virtual_host = self.connections[at.connection].virtual_host;
-        let Some(channel) = self.channel_mut(at) else {
+    pub(super) fn release_channel(&mut self, address: ChannelAddress) {
+        let virtual_host = self.connections[address.connection].virtual_host;
+        let Some(channel) = self.channel_mut(address) else {
             return;
         };
         let consumers = std::mem::take(&mut channel.consumers);
@@ -89,11 +90,11 @@
         channel.partial_publish = None;
         let host = &mut self.virtual_hosts[virtual_host];
         for (tag, consumer) in consumers {
-            if host.remove_consumer(consumer.queue, at.connection, at.number, &tag) {
+            if host.remove_consumer(consumer.queue, address.connection, address.number, &tag) {
                 host.delete_queue(consumer.queue);
             }
         }
-        // From the last to the first, as each goes in front.
+        // In reverse order, as each message is put in front of the others.
         for delivery in unacknowledged.into_iter().rev() {
             self.requeue(virtual_host, delivery);
         }
@@ -110,7 +111,8 @@
         self.virtual_hosts[virtual_host].delete_exclusive_queues(connection);
     }
 
-    /// The connection has ended. What it published stays, and is answered where its reply queue still exists.
+    /// Removes a connection that has ended. Its requests continue, and are answered if their reply queues
+    /// still exist.
     pub fn connection_closed(&mut self, connection: usize) {
         if self.connections.contains(connection) {
             self.release_channels(connection);
--- a/crates/tidewall-amqp/src/server/confirms.rs
+++ b/crates/tidewall-amqp/src/server/confirms.rs
@@ -1,78 +1,82 @@
-//! Publisher confirms: `basic.ack` and `basic.nack` from the server. Acks are collected and sent together, nacks at
-//! once.
+//! Publisher confirms: `basic.ack` and `basic.nack` sent by the server. Acks are collected and sent together,
+//! nacks are sent at once.
 use super::state::{ChannelAddress, PublishOrigin};
 use super::{Server, ServerActions};
 use crate::codec::method;
 
 impl Server {
-    /// The outcome of a publish is known. A channel that has ended, or a publish confirmed before, is passed over.
+    /// Confirms a publish whose outcome is known. If its channel is closed or it was confirmed before,
+    /// nothing is done.
     pub(super) fn confirm_publish<A: ServerActions>(
         &mut self,
         actions: &mut A,
         origin: PublishOrigin,
         accepted: bool,
     ) {
-        let at = origin.channel;
+        let address = origin.channel;
         if !self.is_open(origin) {
             return;
         }
-        let Some(channel) = self.channel_mut(at) else {
+        let Some(channel) = self.channel_mut(address) else {
             return;
         };
         if !channel.unconfirmed.remove(&origin.sequence) {
             return;
         }
         if accepted {
-            let first = channel.unsent_acks.is_empty();
+            let is_first = channel.unsent_acks.is_empty();
             channel.unsent_acks.insert(origin.sequence);
-            if first {
-                self.unsent_acks.push(at);
+            if is_first {
+                self.unsent_acks.push(address);
             }
         } else {
-            self.write_method(actions, at, method::BASIC_NACK, |frame| {
+            self.write_method(actions, address, method::BASIC_NACK, |frame| {
                 frame.long_long(origin.sequence).bit(false).bit(false)
             });
         }
     }
 
-    /// Whether the channel that a publish came from still is the same and open.
+    /// Whether the channel of a publish is still open, and is not a later channel with the same number.
     pub(super) fn is_open(&self, origin: PublishOrigin) -> bool {
-        let at = origin.channel;
+        let address = origin.channel;
         self.connections
-            .get(at.connection)
+            .get(address.connection)
             .is_some_and(|connection| {
                 connection.transport == origin.transport
-                    && connection.channels.get(&at.number).is_some_and(|channel| {
-                        channel.generation == origin.generation && !channel.closing
-                    })
+                    && connection
+                        .channels
+                        .get(&address.number)
+                        .is_some_and(|channel| {
+                            channel.generation == origin.generation && !channel.closing
+                        })
             })
     }
 
-    /// Sends the nacks of abandoned requests and the acks that were collected.
+    /// Sends the nacks for abandoned requests and the collected acks.
     pub(super) fn flush_confirms<A: ServerActions>(&mut self, actions: &mut A) {
         for origin in std::mem::take(&mut self.abandoned_publishes) {
             self.confirm_publish(actions, origin, false);
         }
-        for at in std::mem::take(&mut self.unsent_acks) {
-            self.send_acks(actions, at);
+        for address in std::mem::take(&mut self.unsent_acks) {
+            self.send_acks(actions, address);
         }
     }
 
-    fn send_acks<A: ServerActions>(&mut self, actions: &mut A, at: ChannelAddress) {
-        let Some(channel) = self.channel_mut(at) else {
+    fn send_acks<A: ServerActions>(&mut self, actions: &mut A, address: ChannelAddress) {
+        let Some(channel) = self.channel_mut(address) else {
             return;
         };
         let acks = std::mem::take(&mut channel.unsent_acks);
-        // Everything below the first unconfirmed publish can be acknowledged by one `multiple`.
+        // All publishes below the first unconfirmed one can be acknowledged by one ack with `multiple`.
         let first_unconfirmed = channel.unconfirmed.first().copied().unwrap_or(u64::MAX);
-        let last_together = acks.range(..first_unconfirmed).next_back().copied();
-        if let Some(last) = last_together {
-            self.write_method(actions, at, method::BASIC_ACK, |frame| {
+        let last_multiple = acks.range(..first_unconfirmed).next_back().copied();
+        if let Some(last) = last_multiple {
+            self.write_method(actions, address, method::BASIC_ACK, |frame| {
                 frame.long_long(last).bit(true)
             });
         }
         for sequence in acks.range(first_unconfirmed..) {
-            self.write_method(actions, at, method::BASIC_ACK, |frame| {
+            self.write_method(actions, address, method::BASIC_ACK, |frame| {
                 frame.long_long(*sequence).bit(false)
             });
         }
--- a/crates/tidewall-amqp/src/server/connection.rs
+++ b/crates/tidewall-amqp/src/server/connection.rs
@@ -1,10 +1,10 @@
-//! Class connection (section 1.4.1): negotiation, virtual host, and holding publishers back.
+//! Class connection (section 1.4.1): negotiation, choice of the virtual host, and blocking of publishers.
 use super::state::{ChannelAddress, ConnectionState};
 use super::{MethodResult, Server, ServerActions, ServerConfig};
 use crate::codec::{self, method, ArgumentReader, FieldValue, TableWriter};
 use crate::{reply_code, ProtocolError, Time, SECOND};
 
-/// Extensions that clients look for before they use them.
+/// Extensions that the server announces; clients use them only if they are announced.
 const CAPABILITIES: [&str; 4] = [
     "publisher_confirms",
     "basic.nack",
@@ -12,7 +12,7 @@
     "consumer_cancel_notify",
 ];
 
-/// The connection itself is addressed by channel 0 (4.2.3).
+/// Channel 0, which stands for the connection itself (4.2.3).
 fn channel_zero(connection: usize) -> ChannelAddress {
     ChannelAddress {
         connection,
@@ -42,7 +42,7 @@
         });
     }
 
-    /// A method of class connection.
+    /// Handles a method of class connection.
     pub(super) fn connection_method<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -60,11 +60,11 @@
             (ConnectionState::AwaitingOpen, method::CONNECTION_OPEN) => {
                 let name = arguments.short_str()?;
                 let hosts = &self.config.virtual_hosts;
-                let known = hosts.iter().position(|host| host == name).ok_or_else(|| {
+                let index = hosts.iter().position(|host| host == name).ok_or_else(|| {
                     ProtocolError::new(reply_code::NOT_ALLOWED, format!("no virtual host '{name}'"))
                 })?;
                 let state = &mut self.connections[connection];
-                state.virtual_host = known;
+                state.virtual_host = index;
                 state.state = ConnectionState::Running;
                 let to = channel_zero(connection);
                 self.write_method(actions, to, method::CONNECTION_OPEN_OK, |frame| {
@@ -111,7 +111,7 @@
             state.supports_blocked =
                 capabilities.get("connection.blocked") == Some(FieldValue::Boolean(true));
         }
-        // RFC 4616: authorization identity, user and password, with a zero octet between them.
+        // RFC 4616: authorization identity, user and password, separated by zero octets.
         let mut parts = response.splitn(3, |byte| *byte == 0);
         let (_, user, password) = (parts.next(), parts.next(), parts.next());
         let user = user.and_then(|user| std::str::from_utf8(user).ok());
@@ -139,22 +139,22 @@
             ));
         }
         let state = &mut self.connections[connection];
-        // 0 asks for no limit, so the server's own holds (1.4.2.6).
+        // 0 means that the client sets no limit, so the server's limit applies (1.4.2.6).
         state.channel_max = match channel_max {
             0 => offer.channel_max,
-            asked => asked.min(offer.channel_max),
+            requested => requested.min(offer.channel_max),
         };
         state.frame_max = match frame_max {
             0 => offer.frame_max,
-            asked => asked,
+            requested => requested,
         };
         state.heartbeat = Time::from(heartbeat_seconds) * SECOND;
         state.state = ConnectionState::AwaitingOpen;
         Ok(())
     }
 
-    /// The check that `ServerActions::authenticate` began has ended. `transport` tells whether it still is the same
-    /// connection.
+    /// Handles the result of a check that `ServerActions::authenticate` started. It is ignored if `transport`
+    /// is not that of the connection, whose id was then given to a new one.
     pub fn authentication_finished<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -166,7 +166,7 @@
             return;
         };
         if state.transport != transport || state.state != ConnectionState::Authenticating {
-            return; // it disconnected meanwhile
+            return; // disconnected in the meantime
         }
         if !accepted {
             let error = ProtocolError::new(reply_code::ACCESS_REFUSED, "login refused")
@@ -189,8 +189,8 @@
         });
     }
 
-    /// Tells a client that its publishing is held back, or no longer is, where it understands that. The caller holds
-    /// back by not reading from the connection.
+    /// Sends `connection.blocked` or `connection.unblocked` if the client supports them. To hold the client
+    /// back in fact, the caller has to stop reading from the connection.
     pub fn set_blocked<A: ServerActions>(
         &mut self,
         actions: &mut A,
--- a/crates/tidewall-amqp/src/server/consumers.rs
+++ b/crates/tidewall-amqp/src/server/consumers.rs
@@ -1,4 +1,4 @@
-//! Class basic (section 1.8): the methods but for publish and acknowledgements, which have files of their own.
+//! Class basic (section 1.8), except publish and acknowledgements, which have their own files.
 use super::channel::unknown_method;
 use super::state::{ChannelAddress, ChannelConsumer, QueueAddress};
 use super::{MethodResult, Server, ServerActions, DIRECT_REPLY_TO};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Server {
-    /// A method of class basic.
+    /// Handles a method of class basic.
     pub(super) fn basic_method<A: ServerActions>(
         &mut self,
         actions: &mut A,
--- a/crates/tidewall-amqp/src/server/dead_letters.rs
+++ b/crates/tidewall-amqp/src/server/dead_letters.rs
@@ -1,18 +1,18 @@
-//! Messages that expire or are rejected go to the dead-letter exchange of their queue, with a history in the header
-//! `x-death` as other brokers write it.
+//! Dead letters: a message that expires or is rejected is published to the dead-letter exchange of its queue.
+//! Its history is recorded in the header `x-death`, in the format of other brokers.
 use super::state::{QueueAddress, Unacknowledged};
 use super::Server;
 use crate::codec::{self, ArgumentReader, BasicProperties, FieldTable, FieldValue, TableWriter};
 use crate::virtual_host::Message;
 use crate::{Time, SECOND};
 
-/// Reason in `x-death` of a message that a consumer rejected.
+/// Reason in `x-death` for a message that a consumer rejected.
 const REJECTED: &str = "rejected";
-/// Reason in `x-death` of a message whose time to live has passed.
+/// Reason in `x-death` for a message whose time to live has passed.
 const EXPIRED: &str = "expired";
 
 impl Server {
-    /// A consumer rejected a message of a queue that may have been deleted since.
+    /// Dead-letters a message that a consumer rejected. Its queue may have been deleted since.
     pub(super) fn dead_letter_rejected(&mut self, virtual_host: usize, delivery: Unacknowledged) {
         let queue = QueueAddress {
             virtual_host,
@@ -21,8 +21,8 @@
         self.dead_letter(queue, &delivery.queue_name, delivery.message, REJECTED);
     }
 
-    fn dead_letter(&mut self, at: QueueAddress, name: &str, message: Message, reason: &str) {
-        let queue = self.virtual_hosts[at.virtual_host].queue(at.queue);
+    fn dead_letter(&mut self, address: QueueAddress, name: &str, message: Message, reason: &str) {
+        let queue = self.virtual_hosts[address.virtual_host].queue(address.queue);
         let queue = queue.filter(|queue| &*queue.name == name);
         let exchange = queue.and_then(|queue| queue.dead_letter_exchange.clone());
         let Some(exchange) = exchange else {
@@ -32,19 +32,19 @@
             return;
         }
         let message = dead_letter_copy(&message, name, reason, self.now);
-        self.route_message(at.virtual_host, &exchange, message);
+        self.route_message(address.virtual_host, &exchange, message);
     }
 
-    /// Removes the expired messages of a queue.
-    pub(super) fn remove_expired(&mut self, at: QueueAddress) {
-        let host = &mut self.virtual_hosts[at.virtual_host];
-        let expired = host.remove_expired(at.queue, self.now);
+    /// Removes and dead-letters the expired messages of a queue.
+    pub(super) fn remove_expired(&mut self, address: QueueAddress) {
+        let host = &mut self.virtual_hosts[address.virtual_host];
+        let expired = host.remove_expired(address.queue, self.now);
         if expired.is_empty() {
             return;
         }
-        let name = host[at.queue].name.clone();
+        let name = host[address.queue].name.clone();
         for message in expired {
-            self.dead_letter(at, &name, message, EXPIRED);
+            self.dead_letter(address, &name, message, EXPIRED);
         }
     }
 }
@@ -53,8 +53,9 @@
     codec::decode_properties(&mut ArgumentReader::new(&message.properties)).unwrap_or_default()
 }
 
-/// Whether the message has expired in this queue since it was last rejected: without a consumer it would circulate for
-/// ever. The latest entry of `x-death` comes first, so entries that a publisher made up lie behind.
+/// Whether the message has already expired in this queue since it was last rejected. Without a consumer, such
+/// a message would circulate for ever. The latest entry of `x-death` comes first, so entries forged by a
+/// publisher come after those of the server.
 fn is_cycle(message: &Message, queue: &str) -> bool {
     let headers = properties_of(message).headers;
     let Some(FieldValue::Array(deaths)) = headers.and_then(|headers| headers.get("x-death")) else {
@@ -75,7 +76,8 @@
     false
 }
 
-/// The message as a dead letter: one more entry in front of `x-death`, and no expiry of its own.
+/// A copy of the message as a dead letter, with a new entry at the front of `x-death` and without an
+/// expiration.
 pub(super) fn dead_letter_copy(message: &Message, queue: &str, reason: &str, now: Time) -> Message {
     let mut entry = TableWriter::default();
     entry.long_string("queue", queue);
@@ -83,7 +85,7 @@
     entry.long_string("exchange", &message.exchange);
     entry.signed("count", 1);
     entry.timestamp("time", now / SECOND);
-    // One table with its type octet and length, as an element of the array.
+    // An element of the array: a type octet, a length and a table.
     let mut deaths = vec![b'F'];
     deaths.extend_from_slice(&(entry.0.len() as u32).to_be_bytes());
     deaths.extend_from_slice(&entry.0);
@@ -110,7 +112,7 @@
     }
 }
 
-/// Copies the headers other than `x-death` as they were encoded.
+/// Copies the encoded headers, except `x-death`.
 fn copy_headers(to: &mut TableWriter, from: &FieldTable) {
     let mut fields = ArgumentReader::new(from.0);
     while fields.remaining() > 0 {
--- a/crates/tidewall-amqp/src/server/delivery.rs
+++ b/crates/tidewall-amqp/src/server/delivery.rs
@@ -1,4 +1,4 @@
-//! Deliveries to consumers (section 1.8.3.9), round robin and within their prefetch.
+//! Deliveries to consumers (section 1.8.3.9), round robin and within their prefetch limits.
 use super::state::{ChannelAddress, QueueAddress, Unacknowledged};
 use super::{Server, ServerActions};
 use crate::codec::{method, FrameWriter};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 impl Server {
-    /// Gives a message its delivery tag, and keeps it where an acknowledgement is due.
+    /// Assigns a delivery tag to a message, and keeps the message if it has to be acknowledged.
     pub(super) fn register_delivery(
         &mut self,
         to: ChannelAddress,
@@ -32,25 +32,26 @@
         channel.last_delivery_tag
     }
 
-    /// Delivers to the channel that asked for direct replies; false if it no longer is the same.
+    /// Delivers a direct reply to the channel in the reply address; false if that channel is closed or no
+    /// longer consumes direct replies.
     pub(super) fn deliver_direct_reply<A: ServerActions>(
         &mut self,
         actions: &mut A,
         reply_to: &str,
         message: &Message,
     ) -> bool {
-        // The address ends with connection, channel number and generation.
+        // The address ends with the connection id, the channel number and the generation.
         let mut parts = reply_to.rsplit('.');
-        let mut number = || {
+        let mut next_number = || {
             parts
                 .next()
                 .and_then(|part| part.parse::<u64>().ok())
                 .unwrap_or(u64::MAX)
         };
-        let generation = number();
-        let channel_number = number() as u16;
+        let generation = next_number();
+        let channel_number = next_number() as u16;
         let to = ChannelAddress {
-            connection: number() as usize,
+            connection: next_number() as usize,
             number: channel_number,
         };
         let channel = self.channel_mut(to);
@@ -66,7 +67,7 @@
         true
     }
 
-    /// `basic.deliver`.
+    /// Sends `basic.deliver` with a message.
     fn deliver<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -88,7 +89,7 @@
         self.write_output(actions, to.connection);
     }
 
-    /// What was unsent to a connection has been sent: its consumers may get more.
+    /// Resumes deliveries to a connection whose unsent bytes have been sent.
     pub fn connection_writable<A: ServerActions>(&mut self, actions: &mut A, connection: usize) {
         let numbers: Vec<u16> = self
             .connections
@@ -100,7 +101,7 @@
         self.flush(actions);
     }
 
-    /// The next [`Server::flush`] looks at the queue.
+    /// Makes the next [`Server::flush`] handle the queue.
     pub(super) fn mark_queue_active(&mut self, virtual_host: usize, queue: QueueId) {
         self.active_queues.push(QueueAddress {
             virtual_host,
@@ -108,12 +109,12 @@
         });
     }
 
-    /// The next [`Server::flush`] looks at the queues of a channel's consumers.
-    pub(super) fn mark_queues_active(&mut self, at: ChannelAddress) {
-        let Some(connection) = self.connections.get(at.connection) else {
+    /// Makes the next [`Server::flush`] handle the queues of a channel's consumers.
+    pub(super) fn mark_queues_active(&mut self, address: ChannelAddress) {
+        let Some(connection) = self.connections.get(address.connection) else {
             return;
         };
-        let Some(channel) = connection.channels.get(&at.number) else {
+        let Some(channel) = connection.channels.get(&address.number) else {
             return;
         };
         let queues = channel.consumers.values().map(|consumer| QueueAddress {
@@ -123,19 +124,21 @@
         self.active_queues.extend(queues);
     }
 
-    /// Delivers what consumers may get, then sends the confirms. [`Server::receive`], [`Server::tick`] and
-    /// [`Server::connection_writable`] do so themselves; to be called after any other call.
+    /// Delivers as many messages as the consumers may get, then sends confirms. [`Server::receive`],
+    /// [`Server::tick`] and [`Server::connection_writable`] do this themselves; after any other call the
+    /// caller has to.
     pub fn flush<A: ServerActions>(&mut self, actions: &mut A) {
-        while let Some(at) = self.active_queues.pop() {
-            if self.virtual_hosts[at.virtual_host]
-                .queue(at.queue)
+        while let Some(address) = self.active_queues.pop() {
+            if self.virtual_hosts[address.virtual_host]
+                .queue(address.queue)
                 .is_none()
             {
                 continue;
             }
-            self.remove_expired(at);
-            while let Some(consumer) = self.next_consumer(actions, at) {
-                let Some(message) = self.virtual_hosts[at.virtual_host].dequeue(at.queue) else {
+            self.remove_expired(address);
+            while let Some(consumer) = self.next_consumer(actions, address) {
+                let Some(message) = self.virtual_hosts[address.virtual_host].dequeue(address.queue)
+                else {
                     break;
                 };
                 let to = ChannelAddress {
@@ -144,20 +147,20 @@
                 };
                 let (tag, no_ack) = (consumer.tag, consumer.no_ack);
                 let delivery_tag =
-                    self.register_delivery(to, at.queue, tag.clone(), no_ack, &message);
+                    self.register_delivery(to, address.queue, tag.clone(), no_ack, &message);
                 self.deliver(actions, to, &tag, delivery_tag, &message);
             }
         }
         self.flush_confirms(actions);
     }
 
-    /// The next consumer in turn that may get one more message; none where no message is ready.
+    /// The next consumer in round-robin order that may get another message; none if no message is ready.
     fn next_consumer<A: ServerActions>(
         &mut self,
         actions: &A,
-        at: QueueAddress,
+        address: QueueAddress,
     ) -> Option<Consumer> {
-        let queue = self.virtual_hosts[at.virtual_host].queue_mut(at.queue)?;
+        let queue = self.virtual_hosts[address.virtual_host].queue_mut(address.queue)?;
         if queue.ready.is_empty() {
             return None;
         }
@@ -176,7 +179,7 @@
 }
 
 impl super::state::Channel {
-    /// Whether a consumer of this channel may get one more message.
+    /// Whether a consumer of this channel may get another message.
     fn may_deliver(&self, consumer: &Consumer) -> bool {
         if self.flow_stopped || self.closing {
             return false;
@@ -184,7 +187,7 @@
         if consumer.no_ack {
             return true;
         }
-        let own = self
+        let unacknowledged_count = self
             .unacknowledged
             .iter()
             .filter(|delivery| delivery.consumer_tag == consumer.tag)
@@ -192,7 +195,7 @@
         let registered = self.consumers.get(&consumer.tag);
         let prefetch = registered.map_or(0, |registered| usize::from(registered.prefetch));
         let channel_prefetch = usize::from(self.channel_prefetch);
-        (prefetch == 0 || own < prefetch)
+        (prefetch == 0 || unacknowledged_count < prefetch)
             && (channel_prefetch == 0 || self.unacknowledged.len() < channel_prefetch)
     }
 }
--- a/crates/tidewall-amqp/src/server/interface.rs
+++ b/crates/tidewall-amqp/src/server/interface.rs
@@ -1,32 +1,33 @@
-//! What the server and its caller say to each other.
+//! The interface between the server and its caller.
 use crate::codec::BasicProperties;
 use crate::Time;
 
-/// A publish to the trigger exchange: a request.
+/// A request: a publish to the trigger exchange.
 pub struct TriggerPublish<'a> {
-    /// Who is logged in on the connection.
+    /// The user that is logged in on the connection.
     pub user: &'a str,
     /// Routing key of the publish.
     pub routing_key: &'a str,
     /// Properties of the content header.
     pub properties: &'a BasicProperties<'a>,
-    /// The client says by the header `x-redelivered` that it has sent this before.
+    /// The header `x-redelivered` says that the client has sent this request before.
     pub redelivered: bool,
     /// Body of the message.
     pub body: &'a [u8],
 }
 
-/// How the server acts. Connections are named by the `transport` that they were accepted with.
+/// The actions of the server. A connection is identified by the `transport` with which it was accepted.
 pub trait ServerActions {
-    /// Sends bytes.
+    /// Sends bytes to a connection.
     fn write(&mut self, transport: u64, bytes: &[u8]);
-    /// False while so much is unsent that nothing more should be delivered there.
+    /// Whether more messages may be delivered to the connection; false while too many bytes are unsent.
     fn is_writable(&self, transport: u64) -> bool;
-    /// Closes the connection once everything written has been sent.
+    /// Closes the connection after all written bytes have been sent.
     fn close(&mut self, transport: u64);
-    /// Begins to check a password; `Server::authentication_finished` follows, possibly much later.
+    /// Starts the check of a password. The caller reports the result by `Server::authentication_finished`,
+    /// possibly much later.
     fn authenticate(&mut self, connection: usize, user: &str, password: &[u8]);
-    /// Accepts a request, which `Server::complete_request` answers later, or gives its answer at once.
+    /// Accepts a request, which the caller answers later by `Server::complete_request`.
     ///
     /// # Errors
     /// The request is not accepted; the client gets the disposition and the reason as its final answer.
@@ -38,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("{} {reason}", .disposition.wire_name())]
 pub struct NotAccepted {
-    /// What the client is answered.
+    /// The disposition that is sent to the client.
     pub disposition: Disposition,
-    /// Why; a word or two for the client.
+    /// A short reason for the client.
     pub reason: &'static str,
 }
 
@@ -49,9 +50,9 @@
 pub struct FinalAnswer<'a> {
     /// What became of the request.
     pub disposition: Disposition,
-    /// After this time a rejected request may be sent again; 0 names no time.
+    /// The time after which a rejected request may be sent again; 0 if none is given.
     pub retry_after: Time,
-    /// Why, a word or two for the client; left out where it is empty.
+    /// A short reason for the client; omitted if it is empty.
     pub reason: &'a str,
     /// Body of the reply.
     pub payload: &'a [u8],
@@ -60,18 +61,19 @@
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Disposition {
-    /// It was executed.
+    /// The request was executed.
     Completed,
-    /// It was not executed; the client may try again later.
+    /// The request was not executed; the client may retry later.
     Rejected,
-    /// It was given up and may have been executed.
+    /// The request was abandoned and may have been executed.
     Failed,
-    /// It was refused at admission.
+    /// The request was refused at admission.
     Refused,
 }
 
 impl Disposition {
-    /// The word for it in the header `x-word`, the property `type` and the texts of `basic.return`.
+    /// The name of the disposition in the header `x-word`, the property `type` and the reply texts of
+    /// `basic.return`.
     pub fn wire_name(self) -> &'static str {
         match self {
             Disposition::Completed => "handled",
@@ -82,24 +84,25 @@
     }
 }
 
-/// What the server offers to clients and where it sets bounds.
+/// Parameters offered to clients, and limits of the server.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    /// Largest frame in octets that is offered, at least `codec::FRAME_MIN_SIZE`.
+    /// Frame-max that is offered, in octets; at least `codec::FRAME_MIN_SIZE`.
     pub frame_max: u32,
-    /// Highest channel number that is offered.
+    /// Channel-max that is offered: the highest channel number.
     pub channel_max: u16,
-    /// Heartbeat interval that is offered, in seconds; 0 for none.
+    /// Heartbeat interval that is offered, in seconds; 0 for no heartbeats.
     pub heartbeat_seconds: u16,
-    /// Largest body of a message in octets.
+    /// Maximum size of a message body in octets.
     pub max_body_size: u64,
-    /// A connection must be open this long after it was accepted.
+    /// Time within which a connection must be open after it was accepted, and must be closed by the client
+    /// after `connection.close`.
     pub handshake_timeout: Time,
-    /// Bytes of ready messages in all queues; a publish beyond is refused.
+    /// Limit of the bytes of ready messages in all queues. A publish beyond it is refused.
     pub max_queued_bytes: usize,
     /// Name of the exchange whose publishes are requests.
     pub trigger_exchange: String,
-    /// Exchange to which requests that failed are published; empty for none.
+    /// Exchange to which failed requests are published; empty for none.
     pub dead_letter_exchange: String,
     /// Names of the virtual hosts.
     pub virtual_hosts: Vec<String>,
--- a/crates/tidewall-amqp/src/server/publish.rs
+++ b/crates/tidewall-amqp/src/server/publish.rs
@@ -1,5 +1,5 @@
-//! Content that clients publish (sections 4.2.6 and 1.8.3.7): it is put together from a method frame, a content header
-//! and body frames, then routed to queues or given to the caller as a request.
+//! Content published by clients (sections 4.2.6 and 1.8.3.7). It is assembled from a method frame, a content
+//! header and body frames, then routed to queues or passed to the caller as a request.
 use super::channel::channel_not_open;
 use super::state::{ChannelAddress, PartialPublish, PublishHeader, PublishOrigin};
 use super::topology::MAX_TTL_MILLISECONDS;
@@ -10,7 +10,7 @@
 use std::cmp::Ordering;
 
 impl Server {
-    /// `basic.publish`: content follows.
+    /// Handles `basic.publish`, which is followed by content.
     pub(super) fn begin_publish(
         &mut self,
         from: ChannelAddress,
@@ -107,7 +107,7 @@
                 "a body without its header",
             ));
         };
-        // Memory is taken for what has come, never for what was only announced.
+        // The body grows with the received frames; the size in the header is never allocated in advance.
         body.extend_from_slice(payload);
         match (body.len() as u64).cmp(&header.body_size) {
             Ordering::Less => Ok(()),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A content is complete: in confirm mode it gets its number, and it is published.
+    /// Publishes a complete content. In confirm mode it gets a sequence number first.
     fn content_complete<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -191,7 +191,7 @@
         message: Message,
     ) -> MethodResult {
         if self.queued_bytes() + message.size() > self.config.max_queued_bytes {
-            // Nothing is dropped silently: with confirms it is nacked, else an exception is raised.
+            // No message is dropped silently: in confirm mode it is nacked, otherwise an exception is raised.
             if origin.sequence > 0 {
                 self.confirm_publish(actions, origin, false);
                 return Ok(());
@@ -223,7 +223,8 @@
         Ok(())
     }
 
-    /// Adds a message to all queues that it is routed to and gives how many. An unknown exchange reaches none.
+    /// Adds a message to all queues to which it is routed and returns their number, which is 0 for an unknown
+    /// exchange.
     pub(super) fn route_message(
         &mut self,
         virtual_host: usize,
@@ -245,7 +246,7 @@
         queues.len()
     }
 
-    /// `basic.return`.
+    /// Sends `basic.return` with a message.
     pub(super) fn return_message<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -283,7 +284,8 @@
     }
 }
 
-/// When a message expires by its property `expiration`, a number of milliseconds as text.
+/// The time at which a message expires by its property `expiration`, a number of milliseconds as a decimal
+/// string.
 fn expiration(properties: &BasicProperties, now: Time) -> Result<Option<Time>, ProtocolError> {
     let text = properties.expiration;
     if text.is_empty() {
--- a/crates/tidewall-amqp/src/server/requests.rs
+++ b/crates/tidewall-amqp/src/server/requests.rs
@@ -1,4 +1,5 @@
-//! Publishes to the trigger exchange: each is a request with one final answer, a message to its reply-to and a confirm.
+//! Publishes to the trigger exchange. Each is a request with one final answer, which consists of a message to
+//! its reply-to and a publisher confirm.
 use super::dead_letters::dead_letter_copy;
 use super::state::{ChannelAddress, PendingRequest, PublishOrigin};
 use super::{
@@ -8,7 +9,7 @@
 use crate::virtual_host::Message;
 use crate::{reply_code, ProtocolError, Time, MILLISECOND};
 
-/// Reason in `x-death` of a request that failed.
+/// Reason in `x-death` for a request that failed.
 const REQUEST_FAILED: &str = "maxlen";
 
 impl Server {
@@ -50,7 +51,7 @@
         Ok(())
     }
 
-    /// Where the reply goes: `reply-to` as it is, or for direct replies the address of this very channel.
+    /// The address for the reply: the property `reply-to` or, for direct replies, an address of this channel.
     fn reply_address(
         &mut self,
         origin: PublishOrigin,
@@ -73,8 +74,8 @@
         ))
     }
 
-    /// The client has given up waiting: nobody gets an answer any more. The confirm is a nack at the next
-    /// [`Server::flush`]; without one a later ack with `multiple` would cover this publish too.
+    /// Drops a request whose client has stopped waiting; no answer is sent. The next [`Server::flush`] sends
+    /// a nack, as otherwise a later ack with `multiple` would cover this publish too.
     pub fn abandon_request(&mut self, request: u64) {
         if let Some(pending) = self.take_pending(request) {
             if pending.origin.sequence > 0 {
@@ -87,14 +88,16 @@
         let pending = self.pending_requests.try_remove(request as usize)?;
         let origin = pending.origin;
         let connection = self.connections.get_mut(origin.channel.connection);
-        if let Some(connection) = connection.filter(|c| c.transport == origin.transport) {
+        if let Some(connection) =
+            connection.filter(|connection| connection.transport == origin.transport)
+        {
             connection.pending_requests -= 1;
         }
         Some(pending)
     }
 
-    /// Answers a request: by a message to its reply-to, and its confirm. A request that was answered or abandoned before
-    /// is passed over.
+    /// Answers a request by a message to its reply-to and a confirm. A request that was answered or abandoned
+    /// before is ignored.
     pub fn complete_request<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -117,15 +120,16 @@
         if disposition == Disposition::Failed && !self.config.dead_letter_exchange.is_empty() {
             let exchange = self.config.dead_letter_exchange.clone();
             let message = &pending.message;
-            let dead = dead_letter_copy(message, &message.exchange, REQUEST_FAILED, self.now);
-            self.route_message(pending.virtual_host, &exchange, dead);
+            let dead_letter =
+                dead_letter_copy(message, &message.exchange, REQUEST_FAILED, self.now);
+            self.route_message(pending.virtual_host, &exchange, dead_letter);
         }
         let origin = pending.origin;
         let completed = disposition == Disposition::Completed;
         if origin.sequence == 0 {
             return;
         }
-        // The return tells rejected and failed apart, which a nack alone does not.
+        // The return distinguishes rejected from failed requests, which a nack does not.
         if !completed && self.is_open(origin) {
             let code = if disposition == Disposition::Failed {
                 reply_code::INTERNAL_ERROR
@@ -140,7 +144,7 @@
     }
 }
 
-/// Milliseconds of a time, rounded up.
+/// A duration in milliseconds, rounded up.
 fn milliseconds(time: Time) -> u64 {
     time.div_ceil(MILLISECOND)
 }
--- a/crates/tidewall-amqp/src/server/state.rs
+++ b/crates/tidewall-amqp/src/server/state.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Where a connection is in its life (section 2.2.4); the order is that of the negotiation.
+/// The state of a connection (section 2.2.4), in the order of the negotiation.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) enum ConnectionState {
     AwaitingProtocolHeader,
@@ -14,30 +14,32 @@
     AwaitingTuneOk,
     AwaitingOpen,
     Running,
-    /// The server sent `connection.close`; everything but `connection.close-ok` is dropped.
+    /// The server has sent `connection.close`. All frames but `connection.close-ok` and `connection.close`
+    /// are discarded.
     Closing,
 }
 
 pub(super) struct Connection {
-    /// The caller's handle. It also tells apart connections that had the same id one after the other.
+    /// The caller's handle. It also distinguishes connections that had the same id one after the other.
     pub transport: u64,
     pub state: ConnectionState,
     pub virtual_host: usize,
     pub user: String,
     pub frame_max: u32,
     pub channel_max: u16,
-    /// Heartbeat interval as negotiated; 0 for none.
+    /// Negotiated heartbeat interval; 0 for no heartbeats.
     pub heartbeat: Time,
-    /// When its present time limit began: accepted, or told to close.
+    /// When the present timeout started: when the connection was accepted, or when the server sent
+    /// `connection.close`.
     pub deadline_start: Time,
     pub last_read: Time,
     pub last_written: Time,
     pub channels: BTreeMap<u16, Channel>,
-    /// Publishing is held back, and the client was notified where it can be.
+    /// Publishing is blocked, and the client was notified if it supports that.
     pub blocked: bool,
-    /// The client understands `connection.blocked`.
+    /// The client supports `connection.blocked`.
     pub supports_blocked: bool,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub pending_requests: usize,
 }
 
@@ -62,7 +64,7 @@
     }
 }
 
-/// The content header of a publish, as far as it is needed until the body is complete.
+/// The parts of a content header that are needed until the body is complete.
 pub(super) struct PublishHeader {
     pub body_size: u64,
     pub encoded_properties: Rc<[u8]>,
@@ -77,57 +79,58 @@
     pub body: Vec<u8>,
 }
 
-/// A message that was delivered and not acknowledged.
+/// A message that was delivered and is not acknowledged yet.
 pub(super) struct Unacknowledged {
     pub delivery_tag: u64,
     pub queue: QueueId,
-    /// Tells apart queues that had the same id one after the other.
+    /// Distinguishes queues that had the same id one after the other.
     pub queue_name: Rc<str>,
     /// Empty for a message of `basic.get`.
     pub consumer_tag: Rc<str>,
     pub message: Message,
 }
 
-/// A consumer as its channel knows it.
+/// The state that a channel keeps for a consumer.
 pub(super) struct ChannelConsumer {
     pub queue: QueueId,
-    /// Unacknowledged messages that it may have; 0 for no bound.
+    /// Limit of the consumer's unacknowledged messages; 0 for none.
     pub prefetch: u16,
 }
 
 #[derive(Default)]
 pub(super) struct Channel {
-    /// Tells apart channels that had the same number one after the other.
+    /// Distinguishes channels that had the same number one after the other.
     pub generation: u64,
-    /// The server sent `channel.close` and waits for `channel.close-ok`.
+    /// The server has sent `channel.close` and waits for `channel.close-ok`.
     pub closing: bool,
-    /// The client stopped deliveries by `channel.flow`.
+    /// The client has stopped deliveries by `channel.flow`.
     pub flow_stopped: bool,
     pub confirm_mode: bool,
     /// Sequence number of the latest publish in confirm mode.
     pub publish_sequence: u64,
-    /// Publishes whose outcome is not known.
+    /// Sequence numbers of publishes whose outcome is not known yet.
     pub unconfirmed: BTreeSet<u64>,
-    /// Publishes whose ack is not sent yet.
+    /// Sequence numbers of publishes whose ack was not sent yet.
     pub unsent_acks: BTreeSet<u64>,
     pub last_delivery_tag: u64,
     pub unacknowledged: VecDeque<Unacknowledged>,
     /// By consumer tag.
     pub consumers: BTreeMap<Rc<str>, ChannelConsumer>,
-    /// For each consumer that comes; 0 for no bound.
+    /// Prefetch limit of each consumer that is added from here on; 0 for none.
     pub prefetch: u16,
-    /// For all consumers of the channel together; 0 for no bound.
+    /// Prefetch limit of all consumers of the channel together; 0 for none.
     pub channel_prefetch: u16,
-    /// Tag of the consumer of direct replies.
+    /// Consumer tag for direct replies, if the channel consumes them.
     pub direct_reply_consumer: Option<Rc<str>>,
     pub partial_publish: Option<PartialPublish>,
-    /// What an empty queue name means (50, `queue-name`).
+    /// The queue that was declared last, which is meant by an empty queue name (50, `queue-name`).
     pub last_queue: String,
-    /// Consumers so far; numbers the tags that the server makes.
+    /// Number of consumers so far, used in the consumer tags that the server generates.
     pub consumer_count: u64,
 }
 
-/// A channel by the id of its connection and its number; number 0 stands for the connection itself.
+/// Identifies a channel by the id of its connection and its number. Number 0 stands for the connection
+/// itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ChannelAddress {
     pub connection: usize,
@@ -140,13 +143,13 @@
     pub queue: QueueId,
 }
 
-/// Where a publish came from; a later user of the same connection id or channel number is not confused with it.
+/// Identifies the channel of a publish, also when its connection id or channel number is used again later.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PublishOrigin {
     pub channel: ChannelAddress,
     pub transport: u64,
     pub generation: u64,
-    /// Its number in confirm mode; 0 where the channel wants no confirms.
+    /// Sequence number of the publish in confirm mode; 0 if the channel is not in confirm mode.
     pub sequence: u64,
 }
 
--- a/crates/tidewall-amqp/src/server/topology.rs
+++ b/crates/tidewall-amqp/src/server/topology.rs
@@ -1,4 +1,4 @@
-//! Classes exchange and queue (sections 1.6 and 1.7): declaring, binding, purging and deleting.
+//! Classes exchange and queue (sections 1.6 and 1.7): declare, bind, purge and delete.
 use super::channel::unknown_method;
 use super::state::ChannelAddress;
 use super::{MethodResult, Server, ServerActions};
@@ -6,7 +6,8 @@
 use crate::virtual_host::{ExchangeFlags, QueueId, QueueOptions, VirtualHost};
 use crate::{reply_code, ProtocolError, MILLISECOND};
 
-/// Milliseconds (35 years) at which times to live end: far beyond any use, and no sum with the clock overflows.
+/// Limit of times to live in milliseconds (35 years). It is far beyond any use, and its sum with the current
+/// time cannot overflow.
 pub(super) const MAX_TTL_MILLISECONDS: u64 = 1 << 40;
 
 impl Server {
@@ -15,7 +16,7 @@
         &mut self.virtual_hosts[self.connections[connection].virtual_host]
     }
 
-    /// A method of class exchange.
+    /// Handles a method of class exchange.
     pub(super) fn exchange_method<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -60,7 +61,8 @@
         Ok(())
     }
 
-    /// The queue of that name; an empty name means the queue that the channel declared last (50, `queue-name`).
+    /// The queue with this name. An empty name means the queue that was last declared on the channel (50,
+    /// `queue-name`).
     pub(super) fn find_queue(
         &self,
         from: ChannelAddress,
@@ -78,7 +80,7 @@
         self.virtual_hosts[connection.virtual_host].find_queue(from.connection, name)
     }
 
-    /// A method of class queue.
+    /// Handles a method of class queue.
     pub(super) fn queue_method<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -93,7 +95,7 @@
                 let bind = id == method::QUEUE_BIND;
                 let name = arguments.short_str()?;
                 let (exchange, routing_key) = (arguments.short_str()?, arguments.short_str()?);
-                // queue.unbind has no no-wait.
+                // `queue.unbind` has no argument `no-wait`.
                 let no_wait = if bind { arguments.bit()? } else { false };
                 arguments.table()?;
                 let queue = self.find_queue(from, name)?;
@@ -177,7 +179,7 @@
         let (if_unused, if_empty) = (arguments.bit()?, arguments.bit()?);
         let no_wait = arguments.bit()?;
         let found = match self.find_queue(from, name) {
-            // Deleting what does not exist is no error.
+            // Deleting a queue that does not exist is no error.
             Err(error) if error.reply_code == reply_code::NOT_FOUND => None,
             found => Some(found?),
         };
@@ -200,8 +202,8 @@
         Ok(())
     }
 
-    /// Deletes a queue of the virtual host of `from` and gives the number of messages lost. Its consumers get
-    /// `basic.cancel`, but for those on the channel `requested_by`.
+    /// Deletes a queue of the virtual host of `from` and returns the number of messages lost. Its consumers
+    /// get `basic.cancel`, except those on the channel `requested_by`.
     pub(super) fn delete_queue<A: ServerActions>(
         &mut self,
         actions: &mut A,
@@ -211,16 +213,16 @@
     ) -> usize {
         let deleted = self.host_mut(from.connection).delete_queue(queue);
         for consumer in deleted.consumers {
-            let at = ChannelAddress {
+            let address = ChannelAddress {
                 connection: consumer.connection,
                 number: consumer.channel,
             };
-            let Some(channel) = self.channel_mut(at) else {
+            let Some(channel) = self.channel_mut(address) else {
                 continue;
             };
             channel.consumers.remove(&consumer.tag);
-            if requested_by != Some(at) {
-                self.write_method(actions, at, method::BASIC_CANCEL, |frame| {
+            if requested_by != Some(address) {
+                self.write_method(actions, address, method::BASIC_CANCEL, |frame| {
                     frame.short_str(&consumer.tag).bit(true)
                 });
             }
@@ -236,7 +238,7 @@
     }
 }
 
-/// The argument `x-message-ttl` in milliseconds.
+/// The argument `x-message-ttl`, in milliseconds.
 fn message_ttl(table: &FieldTable) -> Result<Option<u64>, ProtocolError> {
     match table.get("x-message-ttl") {
         None => Ok(None),
--- a/crates/tidewall-amqp/src/topic.rs
+++ b/crates/tidewall-amqp/src/topic.rs
@@ -1,25 +1,25 @@
-//! Topic patterns (section 3.1.3.3) in a trie: words are levels, `*` stands for any one word, `#` for any number of
-//! them. Matching walks a set of nodes word by word, and no node is visited twice for one word, so the cost is bounded by
-//! the number of nodes times the words of the key, whatever the patterns are. `benches/codec.rs` compares it with
-//! trying every binding.
+//! Matching of topic patterns (section 3.1.3.3) by a trie of words, where `*` matches any one word and `#`
+//! any number of words. Matching advances a set of nodes word by word and visits no node twice for one word.
+//! Its cost is bounded by the number of nodes times the number of words of the key, whatever the patterns
+//! are. `benches/codec.rs` compares it with matching every binding.
 use slab::Slab;
 use std::collections::BTreeMap;
 
 const ANY_WORD: &str = "*";
 const ANY_WORDS: &str = "#";
 
-/// Every trie has it, and it is the first that is made.
+/// Index of the root node, which is the first node of every trie.
 const ROOT: usize = 0;
 
 struct Node<V> {
     words: BTreeMap<String, usize>,
     any_word: Option<usize>,
     any_words: Option<usize>,
-    /// Values bound here, with how often.
+    /// The values bound by the pattern that ends at this node, with the number of bindings of each.
     values: BTreeMap<V, u32>,
-    /// The step in which the node was visited last.
+    /// The step in which the node was last visited.
     visited_in: u64,
-    /// It stands for `#`: it takes any word and stays reached.
+    /// The node stands for `#`: once reached, it stays reached whatever word follows.
     is_any_words: bool,
 }
 
@@ -71,13 +71,13 @@
     }
 }
 
-/// Values, such as ids of queues, bound by patterns.
+/// A set of values, such as queue ids, that are bound by patterns.
 pub struct TopicTrie<V> {
     nodes: Slab<Node<V>>,
-    /// Steps of matches so far; by it a node is visited once in each.
+    /// Number of matching steps so far, of all matches. It keeps a node from being visited twice in one step.
     step: u64,
-    /// Nodes reached by the words so far, and by the next one; kept, so that matching allocates nothing once they have
-    /// grown.
+    /// The nodes reached by the words so far, and by the next word. Both are reused, so that matching does
+    /// not allocate once they are large enough.
     reached: Vec<usize>,
     next: Vec<usize>,
 }
@@ -96,32 +96,32 @@
 }
 
 impl<V: Copy + Ord> TopicTrie<V> {
-    /// Binds a value; binding it again by the same pattern is counted.
+    /// Binds a value by a pattern. Bindings of the same value by the same pattern are counted.
     pub fn bind(&mut self, pattern: &str, value: V) {
-        let mut at = ROOT;
+        let mut current = ROOT;
         for word in pattern.split('.') {
-            at = self.nodes[at].child(word).unwrap_or_else(|| {
+            current = self.nodes[current].child(word).unwrap_or_else(|| {
                 let child = self.nodes.insert(Node::new(word == ANY_WORDS));
-                self.nodes[at].add_child(word, child);
+                self.nodes[current].add_child(word, child);
                 child
             });
         }
-        *self.nodes[at].values.entry(value).or_insert(0) += 1;
+        *self.nodes[current].values.entry(value).or_insert(0) += 1;
     }
 
-    /// Undoes one binding; false where there is none.
+    /// Removes one binding; false if there is none.
     pub fn unbind(&mut self, pattern: &str, value: V) -> bool {
-        // Nodes on the way from the root, each with the word that leads on from it.
+        // The nodes from the root on, each with the word of the next edge.
         let mut path = Vec::new();
-        let mut at = ROOT;
+        let mut current = ROOT;
         for word in pattern.split('.') {
-            let Some(child) = self.nodes[at].child(word) else {
+            let Some(child) = self.nodes[current].child(word) else {
                 return false;
             };
-            path.push((at, word));
-            at = child;
+            path.push((current, word));
+            current = child;
         }
-        let values = &mut self.nodes[at].values;
+        let values = &mut self.nodes[current].values;
         let Some(count) = values.get_mut(&value) else {
             return false;
         };
@@ -129,37 +129,37 @@
         if *count == 0 {
             values.remove(&value);
         }
-        // Branches that hold nothing any more are removed.
+        // Remove nodes without children and values.
         while let Some((parent, word)) = path.pop() {
-            if !self.nodes[at].is_empty() {
+            if !self.nodes[current].is_empty() {
                 break;
             }
-            self.nodes.remove(at);
+            self.nodes.remove(current);
             self.nodes[parent].remove_child(word);
-            at = parent;
+            current = parent;
         }
         true
     }
 
-    /// Nodes of the trie with its root: what it costs in memory.
+    /// Number of nodes including the root, as a measure of the memory used.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Visits a node, and those that `#` lets be reached without a further word.
+    /// Visits a node and the `#` nodes below it, which are reached without a further word.
     fn visit(nodes: &mut Slab<Node<V>>, reached: &mut Vec<usize>, node: usize, step: u64) {
-        let mut at = Some(node);
-        while let Some(node) = at {
+        let mut current = Some(node);
+        while let Some(node) = current {
             if nodes[node].visited_in == step {
                 return;
             }
             nodes[node].visited_in = step;
             reached.push(node);
-            at = nodes[node].any_words;
+            current = nodes[node].any_words;
         }
     }
 
-    /// Appends all values that the routing key reaches, each once, in ascending order.
+    /// Appends the values whose patterns match the routing key, each once and in ascending order.
     pub fn find(&mut self, key: &str, found: &mut Vec<V>) {
         let mut reached = std::mem::take(&mut self.reached);
         let mut next = std::mem::take(&mut self.next);
@@ -189,23 +189,23 @@
     }
 }
 
-/// Removes repeated values from the sorted part that begins at `start`.
+/// Removes duplicates from the part of `values` that begins at `start`, which is sorted.
 fn remove_repeats<V: Copy + Eq>(values: &mut Vec<V>, start: usize) {
     let mut kept = start;
-    for at in start..values.len() {
-        if at == start || values[at] != values[kept - 1] {
-            values[kept] = values[at];
+    for index in start..values.len() {
+        if index == start || values[index] != values[kept - 1] {
+            values[kept] = values[index];
             kept += 1;
         }
     }
     values.truncate(kept);
 }
 
-/// One pattern against one routing key, without a trie: what [`TopicTrie::find`] is compared with.
+/// Whether a pattern matches a routing key, computed without a trie: the reference for [`TopicTrie::find`].
 pub fn matches(pattern: &str, key: &str) -> bool {
     let (pattern, key): (Vec<&str>, Vec<&str>) =
         (pattern.split('.').collect(), key.split('.').collect());
-    // By length: whether the pattern so far matches that many words of the key.
+    // By length: whether the words of the pattern so far match that many words of the key.
     let mut reached = vec![false; key.len() + 1];
     reached[0] = true;
     for word in pattern {
--- a/crates/tidewall-amqp/src/virtual_host.rs
+++ b/crates/tidewall-amqp/src/virtual_host.rs
@@ -1,5 +1,5 @@
-//! Exchanges, bindings, queues and consumers of one virtual host (section 3.1). Connections are known by their ids
-//! alone.
+//! Exchanges, bindings, queues and consumers of one virtual host (section 3.1). Connections are
+//! only known by their ids.
 mod exchange;
 mod queue;
 
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::ops::Index;
 
-/// Names with this prefix are the server's own (3.1.3.1 and 3.1.4).
+/// Names with this prefix are reserved for the server (3.1.3.1 and 3.1.4).
 const RESERVED_PREFIX: &str = "amq.";
 
 /// One virtual host.
@@ -23,14 +23,14 @@
     queue_names: BTreeMap<String, QueueId>,
     /// See [`VirtualHost::ready_bytes`].
     ready_bytes: usize,
-    /// Queues so far that a client left the server to name.
+    /// Number of queues so far whose names the server generated.
     generated_names: u64,
-    /// What a publish is routed to; kept, so that routing allocates nothing once it has grown.
+    /// The queues of the latest publish, reused so that routing does not allocate once it is large enough.
     routed: Vec<QueueId>,
 }
 
-fn not_found(what: &str, name: &str) -> ProtocolError {
-    ProtocolError::new(reply_code::NOT_FOUND, format!("no {what} '{name}'"))
+fn not_found(kind: &str, name: &str) -> ProtocolError {
+    ProtocolError::new(reply_code::NOT_FOUND, format!("no {kind} '{name}'"))
 }
 
 fn reserved_name(name: &str) -> ProtocolError {
@@ -41,7 +41,7 @@
 }
 
 impl VirtualHost {
-    /// A virtual host with the exchanges that the specification asks for (3.1.3) and the trigger exchange.
+    /// A virtual host with the predeclared exchanges of the specification (3.1.3) and the trigger exchange.
     pub fn new(trigger_exchange: &str) -> VirtualHost {
         let exchanges = [
             ("amq.direct", Exchange::predeclared_direct()),
@@ -72,12 +72,12 @@
         self.queues.iter().map(|(id, _)| QueueId(id))
     }
 
-    /// A queue, unless it was deleted.
+    /// The queue with this id, unless it was deleted.
     pub fn queue(&self, id: QueueId) -> Option<&Queue> {
         self.queues.get(id.0)
     }
 
-    /// The same, to be changed.
+    /// Like [`VirtualHost::queue`], but mutable.
     pub fn queue_mut(&mut self, id: QueueId) -> Option<&mut Queue> {
         self.queues.get_mut(id.0)
     }
@@ -92,8 +92,9 @@
     /// `exchange.declare` (1.6.2.1).
     ///
     /// # Errors
-    /// PRECONDITION_FAILED where it exists and differs, NOT_FOUND for a passive declare of none, ACCESS_REFUSED for a
-    /// reserved name, NOT_IMPLEMENTED or COMMAND_INVALID for a type that is not served.
+    /// PRECONDITION_FAILED if the exchange exists with other properties, NOT_FOUND for a passive declare if
+    /// it does not exist, ACCESS_REFUSED for a reserved name, NOT_IMPLEMENTED or COMMAND_INVALID for an
+    /// unsupported type.
     pub fn declare_exchange(
         &mut self,
         name: &str,
@@ -121,11 +122,11 @@
         Ok(())
     }
 
-    /// `exchange.delete` (1.6.2.3); bindings to it go with it.
+    /// `exchange.delete` (1.6.2.3); the bindings to the exchange are deleted with it.
     ///
     /// # Errors
-    /// ACCESS_REFUSED for the server's own exchanges, NOT_FOUND, and PRECONDITION_FAILED for one in use with
-    /// `if_unused`.
+    /// ACCESS_REFUSED for an exchange of the server, NOT_FOUND if it does not exist, and PRECONDITION_FAILED
+    /// with `if_unused` if it is in use.
     pub fn delete_exchange(&mut self, name: &str, if_unused: bool) -> Result<(), ProtocolError> {
         if name.is_empty() || name.starts_with(RESERVED_PREFIX) || self.is_trigger(name) {
             return Err(ProtocolError::new(
@@ -150,10 +151,11 @@
         Ok(())
     }
 
-    /// The id of a queue. Exclusive ones are locked to other connections (3.1.4 and 1.7.2.1).
+    /// The id of the queue with this name.
     ///
     /// # Errors
-    /// NOT_FOUND and RESOURCE_LOCKED.
+    /// NOT_FOUND if the queue does not exist, RESOURCE_LOCKED if it is exclusive to another connection (3.1.4
+    /// and 1.7.2.1).
     pub fn find_queue(&self, connection: usize, name: &str) -> Result<QueueId, ProtocolError> {
         let queue = *self
             .queue_names
@@ -169,11 +171,12 @@
         Ok(queue)
     }
 
-    /// `queue.declare` (1.7.2.1). An empty name lets the server choose one.
+    /// `queue.declare` (1.7.2.1). For an empty name the server generates one.
     ///
     /// # Errors
-    /// PRECONDITION_FAILED where it exists and differs, NOT_FOUND for a passive declare of none, ACCESS_REFUSED for a
-    /// reserved name, RESOURCE_LOCKED for another connection's.
+    /// PRECONDITION_FAILED if the queue exists with other properties, NOT_FOUND for a passive declare if it
+    /// does not exist, ACCESS_REFUSED for a reserved name, RESOURCE_LOCKED if it is exclusive to another
+    /// connection.
     pub fn declare_queue(
         &mut self,
         connection: usize,
@@ -208,17 +211,18 @@
         Ok(id)
     }
 
-    /// `queue.bind` (1.7.2.3); a binding that exists is no error.
+    /// `queue.bind` (1.7.2.3); a binding that already exists is no error.
     ///
     /// # Errors
-    /// ACCESS_REFUSED for the default and the trigger exchange, NOT_FOUND.
+    /// ACCESS_REFUSED for the default exchange and the trigger exchange, NOT_FOUND if the exchange does not
+    /// exist.
     pub fn bind(
         &mut self,
         queue: QueueId,
         exchange: &str,
         routing_key: &str,
     ) -> Result<(), ProtocolError> {
-        let target = bindable(&mut self.exchanges, exchange)?;
+        let target = bindable_exchange(&mut self.exchanges, exchange)?;
         let binding = Binding::new(exchange, routing_key);
         let bindings = &mut self.queues[queue.0].bindings;
         if !bindings.contains(&binding) {
@@ -228,35 +232,35 @@
         Ok(())
     }
 
-    /// `queue.unbind` (1.7.2.5); a binding that does not exist is no error. An exchange with auto-delete goes with its
-    /// last binding.
+    /// `queue.unbind` (1.7.2.5); a binding that does not exist is no error. An auto-delete
+    /// exchange is deleted with its last binding.
     ///
     /// # Errors
-    /// ACCESS_REFUSED for the default exchange, NOT_FOUND.
+    /// ACCESS_REFUSED for the default exchange, NOT_FOUND if the exchange does not exist.
     pub fn unbind(
         &mut self,
         queue: QueueId,
         exchange: &str,
         routing_key: &str,
     ) -> Result<(), ProtocolError> {
-        let target = bindable(&mut self.exchanges, exchange)?;
+        let target = bindable_exchange(&mut self.exchanges, exchange)?;
         let binding = Binding::new(exchange, routing_key);
         let bindings = &mut self.queues[queue.0].bindings;
-        if let Some(at) = bindings.iter().position(|known| *known == binding) {
-            bindings.swap_remove(at);
+        if let Some(index) = bindings.iter().position(|existing| *existing == binding) {
+            bindings.swap_remove(index);
             target.unbind(queue, routing_key)?;
-            if target.is_finished() {
+            if target.should_auto_delete() {
                 self.exchanges.remove(exchange);
             }
         }
         Ok(())
     }
 
-    /// Ids of the queues that a publish reaches, in ascending order but for direct exchanges, where it is the order of
-    /// the bindings. The empty name is the default exchange (3.1.3.1).
+    /// Ids of the queues to which a publish is routed: in the order of the bindings for a direct exchange,
+    /// otherwise in ascending order. The empty name is the default exchange (3.1.3.1).
     ///
     /// # Errors
-    /// NOT_FOUND, and ACCESS_REFUSED for an internal exchange.
+    /// NOT_FOUND if the exchange does not exist, ACCESS_REFUSED if it is internal.
     pub fn route(
         &mut self,
         exchange: &str,
@@ -279,11 +283,11 @@
         Ok(&self.routed)
     }
 
-    /// Deletes a queue with its messages and bindings. Its consumers are to be notified.
+    /// Deletes a queue with its messages and bindings. The caller has to notify its consumers.
     pub fn delete_queue(&mut self, queue: QueueId) -> DeletedQueue {
         let message_count = self.purge(queue);
         for binding in self.queues[queue.0].bindings.clone() {
-            // Both ends exist, so this cannot fail.
+            // This cannot fail, as the queue and the exchange of a binding exist.
             let _ = self.unbind(queue, &binding.exchange, &binding.routing_key);
         }
         let deleted = self.queues.remove(queue.0);
@@ -294,7 +298,7 @@
         }
     }
 
-    /// Deletes the queues that end with a connection.
+    /// Deletes the queues that are exclusive to a connection.
     pub fn delete_exclusive_queues(&mut self, connection: usize) {
         let owned: Vec<QueueId> = self
             .queues
@@ -308,7 +312,7 @@
     }
 }
 
-/// An existing queue; panics where it was deleted.
+/// The queue with this id. Panics if it was deleted.
 impl Index<QueueId> for VirtualHost {
     type Output = Queue;
 
@@ -317,8 +321,8 @@
     }
 }
 
-/// The exchange, if queues may be bound to it by name.
-fn bindable<'a>(
+/// The exchange with this name, to which a queue is to be bound or unbound.
+fn bindable_exchange<'a>(
     exchanges: &'a mut BTreeMap<String, Exchange>,
     name: &str,
 ) -> Result<&'a mut Exchange, ProtocolError> {
--- a/crates/tidewall-amqp/src/virtual_host/exchange.rs
+++ b/crates/tidewall-amqp/src/virtual_host/exchange.rs
@@ -1,10 +1,10 @@
-//! Exchanges and how they route (section 3.1.3).
+//! Exchanges and their routing (section 3.1.3).
 use super::QueueId;
 use crate::topic::TopicTrie;
 use crate::{reply_code, ProtocolError};
 use std::collections::BTreeMap;
 
-/// Type of the exchange whose publishes are requests; the settings give its name.
+/// Type of the trigger exchange, whose publishes are requests. The settings give its name.
 pub const TRIGGER_TYPE: &str = "x-trigger";
 
 const DIRECT_TYPE: &str = "direct";
@@ -12,18 +12,19 @@
 const TOPIC_TYPE: &str = "topic";
 const HEADERS_TYPE: &str = "headers";
 
-/// Arguments of a declare that two declares of an exchange must share.
+/// Arguments of `exchange.declare` that must be equal in every declare of an exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExchangeFlags {
-    /// Survives a restart of the server; kept and compared, nothing more, as nothing is stored here.
+    /// The exchange survives a restart of the server. It is only compared with other declares, as nothing is
+    /// stored.
     pub durable: bool,
-    /// Deleted with its last binding.
+    /// The exchange is deleted with its last binding.
     pub auto_delete: bool,
-    /// Takes no publishes from clients.
+    /// The exchange does not accept publishes from clients.
     pub internal: bool,
 }
 
-/// The bindings, as each type needs them for routing.
+/// The bindings, in the form that each type needs for routing.
 enum Routes {
     /// Queue ids by binding key.
     Direct(BTreeMap<String, Vec<QueueId>>),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Whether another declare means this very exchange.
+    /// Whether a declare with these arguments is equivalent to the one that created the exchange.
     pub fn is_same(&self, exchange_type: &str, flags: ExchangeFlags) -> bool {
         self.type_name() == exchange_type && self.flags == flags
     }
@@ -127,8 +128,8 @@
         self.binding_count > 0
     }
 
-    /// To be asked after an unbind: whether the exchange goes with its last binding.
-    pub fn is_finished(&self) -> bool {
+    /// Whether the exchange is to be deleted after an unbind, because it was its last binding.
+    pub fn should_auto_delete(&self) -> bool {
         self.flags.auto_delete && !self.is_used()
     }
 
@@ -161,8 +162,8 @@
                 }
             }
             Routes::Fanout(queues) => {
-                if let Some(at) = queues.iter().position(|other| *other == queue) {
-                    queues.remove(at);
+                if let Some(index) = queues.iter().position(|other| *other == queue) {
+                    queues.remove(index);
                 }
             }
             Routes::Topic(topics) => {
@@ -174,7 +175,7 @@
         Ok(())
     }
 
-    /// Adds the ids of the queues that a routing key reaches, each once.
+    /// Appends the ids of the queues to which a routing key is routed, each once.
     pub fn route(&mut self, key: &str, found: &mut Vec<QueueId>) {
         match &mut self.routes {
             Routes::Direct(queues) => found.extend(queues.get(key).into_iter().flatten()),
--- a/crates/tidewall-amqp/src/virtual_host/queue.rs
+++ b/crates/tidewall-amqp/src/virtual_host/queue.rs
@@ -4,31 +4,31 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// A queue of one virtual host; the id of a deleted queue may be given to another one.
+/// Id of a queue in its virtual host. The id of a deleted queue may be given to another queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueId(pub(super) usize);
 
-/// A message in a queue or under way to a consumer. A clone shares its texts and bytes.
+/// A message in a queue or in delivery to a consumer. Clones share its strings and bytes.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Exchange that it was published to.
+    /// Exchange to which the message was published.
     pub exchange: Rc<str>,
-    /// Routing key that it was published with.
+    /// Routing key with which the message was published.
     pub routing_key: Rc<str>,
-    /// Properties as they are encoded.
+    /// The encoded properties.
     pub properties: Rc<[u8]>,
-    /// Its content.
+    /// The body.
     pub body: Rc<[u8]>,
-    /// Higher ones are delivered first.
+    /// Messages of higher priority are delivered first.
     pub priority: u8,
-    /// When it expires, if ever.
+    /// When the message expires, if it does.
     pub expires_at: Option<Time>,
-    /// It may have been delivered before.
+    /// The message may have been delivered before.
     pub redelivered: bool,
 }
 
 impl Message {
-    /// Bytes that it counts for against the bound of all queues: its own and what keeping it costs besides.
+    /// Bytes that count towards the limit of all queues: the message's own and the overhead of storing it.
     pub fn size(&self) -> usize {
         self.properties.len() + self.body.len() + std::mem::size_of::<Message>()
     }
@@ -41,30 +41,32 @@
 /// A consumer of a queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Consumer {
-    /// Id of its connection.
+    /// Id of the consumer's connection.
     pub connection: usize,
-    /// Number of its channel.
+    /// Number of the consumer's channel.
     pub channel: u16,
-    /// Its tag, unique on the channel.
+    /// The consumer tag, unique on the channel.
     pub tag: Rc<str>,
-    /// Messages count as acknowledged once they are delivered.
+    /// Messages count as acknowledged as soon as they are delivered.
     pub no_ack: bool,
-    /// No other consumer may be added beside it.
+    /// The queue may have no other consumer.
     pub exclusive: bool,
 }
 
-/// Arguments of a declare that two declares of a queue must share.
+/// Arguments of `queue.declare` that must be equal in every declare of a queue.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueOptions {
-    /// Survives a restart of the server; kept and compared, nothing more, as nothing is stored here.
+    /// The queue survives a restart of the server. It is only compared with other declares, as nothing is
+    /// stored.
     pub durable: bool,
-    /// Belongs to the connection that declared it, and ends with it.
+    /// Only the connection that declared the queue may use it, and the queue is deleted when that connection
+    /// closes.
     pub exclusive: bool,
-    /// Deleted with its last consumer.
+    /// The queue is deleted with its last consumer.
     pub auto_delete: bool,
-    /// Exchange that messages go to which expire or are rejected.
+    /// Exchange to which messages are published that expire or are rejected.
     pub dead_letter_exchange: Option<String>,
-    /// How long messages stay at most.
+    /// Time to live of the messages, in addition to their own.
     pub message_ttl: Option<Time>,
 }
 
@@ -85,27 +87,27 @@
 
 /// A queue.
 pub struct Queue {
-    /// Its name, unique in the virtual host.
+    /// The name, unique in the virtual host.
     pub name: Rc<str>,
     durable: bool,
-    /// The connection that it belongs to.
+    /// Id of the connection that has exclusive use of the queue.
     pub(super) exclusive_to: Option<usize>,
     auto_delete: bool,
     /// See [`QueueOptions::dead_letter_exchange`].
     pub dead_letter_exchange: Option<String>,
     message_ttl: Option<Time>,
-    /// Messages to deliver, next first.
+    /// Messages that wait for delivery, the next one first.
     pub ready: VecDeque<Message>,
-    /// Its consumers; the last one got the latest delivery.
+    /// The consumers of the queue; the last one got the latest delivery.
     pub consumers: VecDeque<Consumer>,
     pub(super) bindings: Vec<Binding>,
 }
 
-/// What a queue leaves behind.
+/// What was in a queue when it was deleted.
 pub struct DeletedQueue {
-    /// Messages that were ready and are lost.
+    /// Number of ready messages, which are lost.
     pub message_count: usize,
-    /// Its consumers.
+    /// The consumers of the queue.
     pub consumers: VecDeque<Consumer>,
 }
 
@@ -134,7 +136,8 @@
 }
 
 impl VirtualHost {
-    /// Adds a message behind those of its priority; the queue's time to live bounds the message's own.
+    /// Appends a message to those of its priority. It expires by its own time to live or by the queue's,
+    /// whichever ends first.
     pub fn enqueue(&mut self, queue: QueueId, now: Time, message: Message) {
         self.ready_bytes += message.size();
         let queue = &mut self.queues[queue.0];
@@ -154,7 +157,7 @@
         queue.ready.insert(queue.ready.len() - lower, message);
     }
 
-    /// Returns a message that was delivered: in front of those of its priority.
+    /// Returns a delivered message to the queue, in front of the messages of its priority.
     pub fn requeue(&mut self, queue: QueueId, message: Message) {
         self.ready_bytes += message.size();
         let ready = &mut self.queues[queue.0].ready;
@@ -169,14 +172,14 @@
         ready.insert(higher, message);
     }
 
-    /// Takes the next message.
+    /// Removes and returns the next message.
     pub fn dequeue(&mut self, queue: QueueId) -> Option<Message> {
         let message = self.queues[queue.0].ready.pop_front()?;
         self.ready_bytes -= message.size();
         Some(message)
     }
 
-    /// Takes out all messages that have expired, wherever they are in the queue.
+    /// Removes and returns all expired messages, wherever they are in the queue.
     pub fn remove_expired(&mut self, queue: QueueId, now: Time) -> Vec<Message> {
         let ready = &mut self.queues[queue.0].ready;
         if !ready.iter().any(|message| message.is_expired(now)) {
@@ -189,7 +192,7 @@
         expired
     }
 
-    /// Drops all ready messages and gives how many.
+    /// Drops all ready messages and returns their number.
     pub fn purge(&mut self, queue: QueueId) -> usize {
         let count = self.queues[queue.0].ready.len();
         while self.dequeue(queue).is_some() {}
@@ -199,7 +202,7 @@
     /// Adds a consumer.
     ///
     /// # Errors
-    /// ACCESS_REFUSED where it or another one is exclusive.
+    /// ACCESS_REFUSED if another consumer is exclusive, or if this one is and the queue has others.
     pub fn add_consumer(
         &mut self,
         queue: QueueId,
@@ -216,7 +219,8 @@
         Ok(())
     }
 
-    /// Removes a consumer; true where the queue is to be deleted with it.
+    /// Removes a consumer; true if the queue is auto-delete and this was its last consumer, so that the
+    /// caller has to delete the queue.
     pub fn remove_consumer(
         &mut self,
         queue: QueueId,
