--- a/crates/tidewall-amqp-ingress/src/lib.rs
+++ b/crates/tidewall-amqp-ingress/src/lib.rs
@@ -84,7 +84,7 @@
     in_flight: Slab<InFlightRequest>,
     /// Slots of the requests that repeats wait for.
     slots_with_repeats: Vec<usize>,
-    /// Server ids of repeats that need an answer of their own, because their request's does not come in time.
+    /// Server ids of repeats that get an answer of their own, as that of their request would be late.
     late_repeats: Vec<u64>,
     /// The generation of the latest request.
     generation: u32,
@@ -101,7 +101,7 @@
     connections: Vec<Option<(u64, usize)>>,
     /// Number of exceptions when one was last logged.
     logged_exceptions: u64,
-    /// When heartbeats and expirations were last checked.
+    /// Time of the last check of heartbeats and expirations.
     last_tick: Time,
     /// Reused by every update of the flow control.
     connection_loads: Vec<ConnectionLoad>,
@@ -113,10 +113,10 @@
     state: &'a mut IngressState,
 }
 
-/// Actions of the server while a reply is sent, with the network alone: no request can come in then.
+/// Actions of the server while a reply is sent. They need only the network, as no request is received then.
 struct ReplyActions<'a, N: Net>(&'a mut N);
 
-/// Whether little enough is unsent for more deliveries to the connection.
+/// Whether the connection may get more deliveries, because few enough bytes are unsent.
 fn has_write_capacity<N: Net>(net: &N, transport: u64) -> bool {
     net.unsent(Conn(transport)) < MAX_UNSENT_BYTES
 }
@@ -447,7 +447,7 @@
     /// [`Disposition::Failed`], which promises nothing, whatever becomes of the request.
     fn answer_due_repeats<N: Net>(&mut self, context: &mut IngressContext<N>) {
         let now = context.net().now();
-        // The time until after the next timer.
+        // Due if the deadline is within two timer intervals, this one and the next.
         let is_due = |waiter: &(u64, Time)| now + 2 * TIMER_INTERVAL >= waiter.1;
         let IngressState {
             in_flight,
--- a/crates/tidewall-amqp-ingress/tests/triggers.rs
+++ b/crates/tidewall-amqp-ingress/tests/triggers.rs
@@ -1,5 +1,5 @@
 //! AMQP clients, the gateway with its AMQP ingress, and scripted workers on the in-memory network: each
-//! request gets exactly one answer and is not executed twice, whatever fails in between.
+//! request gets exactly one answer and has no second effect, whatever fails in between.
 #[path = "../../tidewall-gateway/tests/help/mod.rs"]
 #[allow(dead_code)] // some of it is used by the gateway's tests only
 mod help;
@@ -476,7 +476,7 @@
     );
 }
 
-/// Guards against losing a message-id together with an answer that came too late: the next repeat would be
+/// Guards against forgetting a message-id when its answer is too late to be sent: the next repeat would be
 /// executed again.
 #[test_case("issue", 1, "dead-lettered"; "at most once is not executed again")]
 #[test_case("record", 1, "dead-lettered"; "keyed is not executed again, as it is unknown where it was executed")]
