--- a/crates/tidewall-amqp-ingress/src/hold_back.rs
+++ b/crates/tidewall-amqp-ingress/src/hold_back.rs
@@ -233,7 +233,7 @@
     #[test_case(&[100, 3], 0, 0, &[(0, "pause")] ; "at the limit, the other connection is read")]
     #[test_case(&[1, 1], 900, 0, &[(0, "block"), (1, "block")] ; "queues at the high watermark")]
     #[test_case(&[1, 1], 899, 0, &[] ; "queues just below the high watermark")]
-    #[test_case(&[500, 40], 0, 900, &[(0, "pause"), (0, "block"), (1, "block")] ; "in flight at the high watermark")]
+    #[test_case(&[500, 40], 0, 900, &[(0, "pause"), (0, "block"), (1, "block")] ; "too many in flight")]
     fn paused_and_blocked_at_limits(
         pending_requests: &[usize],
         queued_bytes: usize,
