--- a/crates/tidewall-fault-tests/src/lib.rs
+++ b/crates/tidewall-fault-tests/src/lib.rs
@@ -1,4 +1,5 @@
-//! The shipped binary several times, with faults between the processes. `relay` stands between members, and between those
-//! that act and the workers; `trial` starts processes, plays a script, and judges by the rules from the record alone.
+//! Runs several processes of the shipped binary with faults between them. `relay` forwards the traffic
+//! between members, and between lease holders and workers; `trial` starts the processes, runs a script of
+//! faults, and checks the rules from the record alone.
 pub mod relay;
 pub mod trial;
--- a/crates/tidewall-fault-tests/src/relay.rs
+++ b/crates/tidewall-fault-tests/src/relay.rs
@@ -1,5 +1,7 @@
-//! All that goes between the processes passes here: datagrams between members, and connections of those that act to workers.
-//! It cuts one way or both, loses, doubles, delays, reorders, and breaks connections, as it is told, from a seed.
+//! A relay for all traffic between the processes: datagrams between members, and the connections on which
+//! lease holders send effects to workers. As the test requests, it drops, duplicates, delays and reorders
+//! datagrams, cuts links in one or both directions, and resets connections. Random decisions are drawn from a
+//! seed.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use slab::Slab;
@@ -10,188 +12,191 @@
 use tidewall_net::{App, CloseReason, Conn, DatagramSocket, Listener, Net, Time};
 use tidewall_wire::{self as wire, Field, Fields};
 
-/// What befalls what goes from one member to another.
+/// The faults on the link from one member to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
     pub cut: bool,
-    /// Of a thousand.
-    pub lost: u32,
-    pub twice: u32,
+    /// How many of 1,000 datagrams are lost.
+    pub loss_per_mille: u32,
+    /// How many of 1,000 datagrams are duplicated.
+    pub duplicate_per_mille: u32,
     pub delay: Time,
     pub jitter: Time,
 }
 
 #[derive(Default)]
-pub struct State {
-    /// By sender and receiver.
+pub struct RelayState {
+    /// Faults by sender and receiver.
     pub links: BTreeMap<(usize, usize), Link>,
-    /// What a member's acts take to get to workers, and back; and whether they get there at all.
-    pub acts: BTreeMap<usize, Link>,
-    /// These members' connections to workers break at the next byte.
-    pub breaks: Vec<usize>,
+    /// By member: the delay of its effects to workers and of their replies, and whether that link is cut.
+    pub effect_links: BTreeMap<usize, Link>,
+    /// Members whose connections to workers are reset at the next poll of this state.
+    pub members_to_reset: Vec<usize>,
     pub stop: bool,
-    /// Datagrams that passed, and that did not.
-    pub passed: u64,
-    pub held_back: u64,
+    /// Counts of datagrams that were forwarded and that were dropped.
+    pub forwarded: u64,
+    pub dropped: u64,
 }
 
-/// Where datagrams of a member come in for others, and where it really listens.
-pub struct Way {
-    pub front: SocketAddr,
-    pub back: SocketAddr,
+/// The relay's address to which other members send datagrams for a member, and the address where that member
+/// listens.
+pub struct MemberRoute {
+    pub relay_address: SocketAddr,
+    pub member_address: SocketAddr,
 }
 
-struct Pair {
+struct RelayedConnection {
     other: Conn,
-    /// Towards the worker.
-    out: bool,
-    /// Which member's acts go here, once it said hello.
+    /// Whether this connection comes from a member, so that its bytes go towards the worker.
+    towards_worker: bool,
+    /// The member whose effects it carries; none until the hello frame has arrived.
     member: Option<usize>,
 }
 
 pub struct Relay {
     net: Mio,
-    state: Arc<Mutex<State>>,
-    ways: Vec<(DatagramSocket, Way)>,
+    state: Arc<Mutex<RelayState>>,
+    routes: Vec<(DatagramSocket, MemberRoute)>,
     workers: Vec<(Listener, SocketAddr)>,
-    pairs: BTreeMap<Conn, Pair>,
-    /// What waits for its time: a datagram for a member, or bytes for a connection.
-    late: Slab<Late>,
-    /// Bytes on a connection keep their order.
-    last: BTreeMap<Conn, Time>,
-    /// Bytes of a connection that is cut.
-    stalled: BTreeMap<Conn, VecDeque<Vec<u8>>>,
-    chance: ChaCha8Rng,
+    connections: BTreeMap<Conn, RelayedConnection>,
+    /// Delayed deliveries: a datagram for a member, or bytes for a connection.
+    delayed: Slab<Delivery>,
+    /// The latest scheduled delivery per connection, so that its bytes keep their order.
+    last_delivery: BTreeMap<Conn, Time>,
+    /// Bytes held back for connections whose link is cut.
+    held_bytes: BTreeMap<Conn, VecDeque<Vec<u8>>>,
+    rng: ChaCha8Rng,
 }
 
-enum Late {
+enum Delivery {
     Datagram(usize, Vec<u8>),
     Bytes(Conn, Vec<u8>),
 }
 
-/// The relay looks at what it was told this often.
-const LOOK: Time = 50;
-const OF_LOOK: u64 = u64::MAX;
+/// How often the relay reads the state that the test sets.
+const POLL_INTERVAL: Time = 50;
+const POLL_TOKEN: u64 = u64::MAX;
 
 impl Relay {
-    /// Fronts of workers are opened where the system likes; they are given back in order.
+    /// Opens a listener for each worker on a port that the system chooses, and returns their addresses in the
+    /// order of `workers`.
     pub fn new(
-        ways: Vec<Way>,
+        routes: Vec<MemberRoute>,
         workers: &[SocketAddr],
-        state: Arc<Mutex<State>>,
+        state: Arc<Mutex<RelayState>>,
         seed: u64,
     ) -> Result<(Relay, Vec<SocketAddr>), String> {
         let mut net = Mio::new().map_err(|e| e.to_string())?;
         let mut bound = Vec::new();
-        for way in ways {
+        for route in routes {
             let (port, _) = net
-                .bind_datagram(way.front)
-                .map_err(|e| format!("{}: {e}", way.front))?;
-            bound.push((port, way));
+                .bind_datagram(route.relay_address)
+                .map_err(|e| format!("{}: {e}", route.relay_address))?;
+            bound.push((port, route));
         }
-        let (mut list, mut fronts) = (Vec::new(), Vec::new());
+        let (mut listeners, mut relay_addresses) = (Vec::new(), Vec::new());
         for worker in workers {
             let (listener, at) = net
                 .listen(([127, 0, 0, 1], 0).into())
                 .map_err(|e| e.to_string())?;
-            list.push((listener, *worker));
-            fronts.push(at);
+            listeners.push((listener, *worker));
+            relay_addresses.push(at);
         }
         let now = net.now();
-        net.set_timer(now + LOOK, OF_LOOK);
+        net.set_timer(now + POLL_INTERVAL, POLL_TOKEN);
         let relay = Relay {
             net,
             state,
-            ways: bound,
-            workers: list,
-            pairs: BTreeMap::new(),
-            late: Slab::new(),
-            last: BTreeMap::new(),
-            stalled: BTreeMap::new(),
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            routes: bound,
+            workers: listeners,
+            connections: BTreeMap::new(),
+            delayed: Slab::new(),
+            last_delivery: BTreeMap::new(),
+            held_bytes: BTreeMap::new(),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         };
-        Ok((relay, fronts))
+        Ok((relay, relay_addresses))
     }
 
-    fn later(&mut self, wait: Time, late: Late) {
-        let key = self.late.insert(late) as u64;
+    fn schedule(&mut self, wait: Time, delivery: Delivery) {
+        let key = self.delayed.insert(delivery) as u64;
         let at = self.net.now() + wait;
         self.net.set_timer(at, key);
     }
 
-    fn pass(&mut self, to: Conn, bytes: Vec<u8>, link: Link) {
-        if link.cut || self.stalled.contains_key(&to) {
-            return self.stalled.entry(to).or_default().push_back(bytes);
+    fn forward(&mut self, to: Conn, bytes: Vec<u8>, link: Link) {
+        if link.cut || self.held_bytes.contains_key(&to) {
+            return self.held_bytes.entry(to).or_default().push_back(bytes);
         }
-        if link.delay == 0 && !self.last.contains_key(&to) {
+        if link.delay == 0 && !self.last_delivery.contains_key(&to) {
             self.net.write(to, &bytes);
             return;
         }
         let now = self.net.now();
-        let at = (now + link.delay).max(self.last.get(&to).copied().unwrap_or(0));
-        self.last.insert(to, at);
-        self.later(at - now, Late::Bytes(to, bytes));
+        let at = (now + link.delay).max(self.last_delivery.get(&to).copied().unwrap_or(0));
+        self.last_delivery.insert(to, at);
+        self.schedule(at - now, Delivery::Bytes(to, bytes));
     }
 
-    fn look(&mut self) {
-        let (stop, links, breaks) = {
+    fn poll_state(&mut self) {
+        let (stop, links, members_to_reset) = {
             let mut state = self
                 .state
                 .lock()
-                .expect("nobody panics while it holds this");
+                .expect("no thread panics while it holds the lock");
             (
                 state.stop,
-                state.acts.clone(),
-                std::mem::take(&mut state.breaks),
+                state.effect_links.clone(),
+                std::mem::take(&mut state.members_to_reset),
             )
         };
         if stop {
             return self.net.stop();
         }
-        let of = |p: &Pair| {
+        let link_of = |p: &RelayedConnection| {
             p.member
                 .and_then(|m| links.get(&m).copied())
                 .unwrap_or_default()
         };
-        let mended: Vec<Conn> = self
-            .stalled
+        let restored: Vec<Conn> = self
+            .held_bytes
             .keys()
             .copied()
-            .filter(|c| self.pairs.get(c).is_none_or(|p| !of(p).cut))
+            .filter(|c| self.connections.get(c).is_none_or(|p| !link_of(p).cut))
             .collect();
-        for conn in mended {
-            for bytes in self.stalled.remove(&conn).unwrap_or_default() {
+        for conn in restored {
+            for bytes in self.held_bytes.remove(&conn).unwrap_or_default() {
                 self.net.write(conn, &bytes);
             }
         }
-        let broken: Vec<Conn> = self
-            .pairs
+        let reset_conns: Vec<Conn> = self
+            .connections
             .iter()
-            .filter(|p| p.1.member.is_some_and(|m| breaks.contains(&m)))
+            .filter(|p| p.1.member.is_some_and(|m| members_to_reset.contains(&m)))
             .map(|p| *p.0)
             .collect();
-        for conn in broken {
-            self.end(conn);
+        for conn in reset_conns {
+            self.close_both(conn);
             self.net.reset(conn);
         }
         let now = self.net.now();
-        self.net.set_timer(now + LOOK, OF_LOOK);
+        self.net.set_timer(now + POLL_INTERVAL, POLL_TOKEN);
     }
 
-    /// One end is gone: the other goes too.
-    fn end(&mut self, conn: Conn) {
-        if let Some(pair) = self.pairs.remove(&conn) {
-            self.pairs.remove(&pair.other);
-            self.net.reset(pair.other);
-            for c in [conn, pair.other] {
-                self.stalled.remove(&c);
-                self.last.remove(&c);
+    /// Forgets both ends of a relayed connection and resets the other end.
+    fn close_both(&mut self, conn: Conn) {
+        if let Some(connection) = self.connections.remove(&conn) {
+            self.connections.remove(&connection.other);
+            self.net.reset(connection.other);
+            for c in [conn, connection.other] {
+                self.held_bytes.remove(&c);
+                self.last_delivery.remove(&c);
             }
         }
     }
 
-    /// A hello of those that act says whose connection it is.
-    fn whose(bytes: &[u8]) -> Option<usize> {
+    /// Reads from a lease holder's hello frame which member the connection belongs to.
+    fn effect_sender(bytes: &[u8]) -> Option<usize> {
         let (body, _) = wire::frame(bytes).ok()??;
         let fields = Fields::read(body).ok()?;
         if wire::greeted(&fields).ok()? != "tasks" {
@@ -213,118 +218,122 @@
             return;
         };
         let other = self.net.connect(to, 20_000);
-        self.pairs.insert(
+        self.connections.insert(
             conn,
-            Pair {
+            RelayedConnection {
                 other,
-                out: true,
+                towards_worker: true,
                 member: None,
             },
         );
-        self.pairs.insert(
+        self.connections.insert(
             other,
-            Pair {
+            RelayedConnection {
                 other: conn,
-                out: false,
+                towards_worker: false,
                 member: None,
             },
         );
     }
 
     fn connected(&mut self, conn: Conn) {
-        // What came before it stood has waited for it.
-        for bytes in self.stalled.remove(&conn).unwrap_or_default() {
+        // Bytes that arrived before the connection was established were held back.
+        for bytes in self.held_bytes.remove(&conn).unwrap_or_default() {
             self.net.write(conn, &bytes);
         }
     }
 
     fn received(&mut self, conn: Conn, bytes: &[u8]) -> usize {
-        let Some(pair) = self.pairs.get_mut(&conn) else {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return bytes.len();
         };
-        let other = pair.other;
-        if pair.out && pair.member.is_none() {
-            if let Some(member) = Relay::whose(bytes) {
-                pair.member = Some(member);
-                if let Some(back) = self.pairs.get_mut(&other) {
-                    back.member = Some(member);
+        let other = connection.other;
+        if connection.towards_worker && connection.member.is_none() {
+            if let Some(member) = Relay::effect_sender(bytes) {
+                connection.member = Some(member);
+                if let Some(reverse) = self.connections.get_mut(&other) {
+                    reverse.member = Some(member);
                 }
             }
         }
-        let member = self.pairs[&conn].member;
+        let member = self.connections[&conn].member;
         let link = {
             let state = self
                 .state
                 .lock()
-                .expect("nobody panics while it holds this");
+                .expect("no thread panics while it holds the lock");
             member
-                .and_then(|m| state.acts.get(&m).copied())
+                .and_then(|m| state.effect_links.get(&m).copied())
                 .unwrap_or_default()
         };
-        self.pass(other, bytes.to_vec(), link);
+        self.forward(other, bytes.to_vec(), link);
         bytes.len()
     }
 
     fn writable(&mut self, _: Conn) {}
 
     fn closed(&mut self, conn: Conn, _: CloseReason) {
-        self.end(conn);
+        self.close_both(conn);
     }
 
     fn datagram_received(&mut self, port: DatagramSocket, from: SocketAddr, bytes: &[u8]) {
-        let Some(to) = self.ways.iter().position(|w| w.0 == port) else {
+        let Some(to) = self.routes.iter().position(|w| w.0 == port) else {
             return;
         };
-        let Some(from) = self.ways.iter().position(|w| w.1.back == from) else {
+        let Some(from) = self.routes.iter().position(|w| w.1.member_address == from) else {
             return;
         };
-        let (link, lost, twice, jitter) = {
+        let (link, lost, duplicated, jitter) = {
             let mut state = self
                 .state
                 .lock()
-                .expect("nobody panics while it holds this");
+                .expect("no thread panics while it holds the lock");
             let link = state.links.get(&(from, to)).copied().unwrap_or_default();
-            let lost =
-                link.cut || link.lost > 0 && self.chance.random_ratio(link.lost.min(1_000), 1_000);
-            let twice = link.twice > 0 && self.chance.random_ratio(link.twice.min(1_000), 1_000);
+            let lost = link.cut
+                || link.loss_per_mille > 0
+                    && self.rng.random_ratio(link.loss_per_mille.min(1_000), 1_000);
+            let duplicated = link.duplicate_per_mille > 0
+                && self
+                    .rng
+                    .random_ratio(link.duplicate_per_mille.min(1_000), 1_000);
             let jitter = if link.jitter > 0 {
-                self.chance.random_range(0..=link.jitter)
+                self.rng.random_range(0..=link.jitter)
             } else {
                 0
             };
             if lost {
-                state.held_back += 1;
+                state.dropped += 1;
             } else {
-                state.passed += 1;
+                state.forwarded += 1;
             }
-            (link, lost, twice, jitter)
+            (link, lost, duplicated, jitter)
         };
         if lost {
             return;
         }
         let wait = link.delay + jitter;
-        if twice {
-            self.later(wait + 20, Late::Datagram(to, bytes.to_vec()));
+        if duplicated {
+            self.schedule(wait + 20, Delivery::Datagram(to, bytes.to_vec()));
         }
         if wait == 0 {
-            let (port, way) = &self.ways[to];
-            let (port, back) = (*port, way.back);
-            self.net.send_datagram(port, back, bytes);
+            let (port, route) = &self.routes[to];
+            let (port, member_address) = (*port, route.member_address);
+            self.net.send_datagram(port, member_address, bytes);
         } else {
-            self.later(wait, Late::Datagram(to, bytes.to_vec()));
+            self.schedule(wait, Delivery::Datagram(to, bytes.to_vec()));
         }
     }
 
     fn timer_fired(&mut self, token: u64) {
-        if token == OF_LOOK {
-            return self.look();
+        if token == POLL_TOKEN {
+            return self.poll_state();
         }
-        match self.late.remove(token as usize) {
-            Late::Datagram(to, bytes) => {
-                let (port, back) = (self.ways[to].0, self.ways[to].1.back);
-                self.net.send_datagram(port, back, &bytes);
+        match self.delayed.remove(token as usize) {
+            Delivery::Datagram(to, bytes) => {
+                let (port, member_address) = (self.routes[to].0, self.routes[to].1.member_address);
+                self.net.send_datagram(port, member_address, &bytes);
             }
-            Late::Bytes(conn, bytes) => {
+            Delivery::Bytes(conn, bytes) => {
                 self.net.write(conn, &bytes);
             }
         }
--- a/crates/tidewall-fault-tests/src/trial.rs
+++ b/crates/tidewall-fault-tests/src/trial.rs
@@ -1,6 +1,7 @@
-//! One trial: five gateways in three halls as processes, a script of what goes wrong and when, and the verdict. Times of a
-//! script matter only in that each is far from what would make a difference; what is judged is the record.
-use crate::relay::{Link, Relay, State, Way};
+//! One trial: five gateway processes in three zones, a script of timed faults, and the verdict. The times in
+//! a script are chosen far from any limit that would change the outcome; the verdict depends on the record
+//! alone.
+use crate::relay::{Link, MemberRoute, Relay, RelayState};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -17,85 +18,93 @@
 use tidewall_net::{Net, Time};
 
 pub const MEMBERS: usize = 5;
-/// Keepers: one in each hall.
-pub const KEEPERS: [usize; 3] = [0, 1, 2];
+/// Members that grant leases: one in each zone.
+pub const GRANTORS: [usize; 3] = [0, 1, 2];
 pub const LEASES: usize = 16;
-/// A term is far longer than a busy machine's delays, and short enough for several in one trial, ms.
-pub const TERM: u64 = 2_500;
+/// The term of a lease, in ms: far longer than the delays of a busy machine, and short enough for several in
+/// one trial.
+pub const LEASE_TERM_MS: u64 = 2_500;
 
-/// What happens.
+/// One step of a script.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// SIGKILL; it starts when told.
+    /// Sends SIGKILL to the member; it starts again only with `Start`.
     Kill(usize),
     Start(usize),
-    /// SIGSTOP, SIGCONT.
-    Stand(usize),
-    Go(usize),
-    /// SIGTERM; once it has ended it starts anew.
-    Term(usize),
-    /// Between one side and the other, of datagrams: out of that side, into it, or both.
+    /// Sends SIGSTOP.
+    Pause(usize),
+    /// Sends SIGCONT.
+    Resume(usize),
+    /// Sends SIGTERM; the member is started again once its process has ended.
+    Terminate(usize),
+    /// Cuts datagrams between these members and the others: those that they send (first flag), those sent to
+    /// them (second flag), or both.
     Cut(Vec<usize>, bool, bool),
-    /// All links between members are like that from now on.
+    /// Sets the faults of all links between members.
     Links(Link),
-    /// What goes to that member from all others is like that.
-    Into(usize, Link),
-    /// The same of its acts.
-    Acts(usize, Link),
-    /// Its connections to workers break.
-    Break(usize),
-    /// Nothing is cut or slow any more.
-    Mend,
+    /// Sets the faults of the links from all other members to this member.
+    LinksTo(usize, Link),
+    /// Sets the faults of the link between this member's effects and the workers.
+    EffectLinks(usize, Link),
+    /// Resets the member's connections to workers.
+    ResetConnections(usize),
+    /// Removes the faults of all links.
+    ClearFaults,
 }
 
 pub struct Setup {
     pub seed: u64,
-    /// Milliseconds from when all tasks are held.
+    /// Steps with their times, in milliseconds since all leases were found held and settled.
     pub script: Vec<(u64, Step)>,
-    pub lasts: u64,
-    pub left_out: &'static str,
-    /// By how much members' clocks are off, millionths.
-    pub clocks: [i64; MEMBERS],
-    pub wild: bool,
-    pub channel: usize,
-    pub term: u64,
+    /// The shortest duration of the script, in milliseconds.
+    pub min_duration_ms: u64,
+    /// The value of the program's `--left-out` flag: the safeguard that is disabled, or `nothing`.
+    pub disabled_safeguard: &'static str,
+    /// The rate errors of the members' clocks, in parts per million.
+    pub clock_errors_ppm: [i64; MEMBERS],
+    /// Whether a clock error is beyond the bound that the settings name.
+    pub clocks_out_of_bounds: bool,
+    pub channel_capacity: usize,
+    /// The term of a lease, in milliseconds.
+    pub term_ms: u64,
 }
 
 impl Setup {
-    pub fn new(seed: u64, lasts: u64, script: Vec<(u64, Step)>) -> Setup {
-        let (left_out, clocks) = ("nothing", [0; MEMBERS]);
+    pub fn new(seed: u64, min_duration_ms: u64, script: Vec<(u64, Step)>) -> Setup {
+        let (disabled_safeguard, clock_errors_ppm) = ("nothing", [0; MEMBERS]);
         Setup {
             seed,
             script,
-            lasts,
-            left_out,
-            clocks,
-            wild: false,
-            channel: 64,
-            term: TERM,
+            min_duration_ms,
+            disabled_safeguard,
+            clock_errors_ppm,
+            clocks_out_of_bounds: false,
+            channel_capacity: 64,
+            term_ms: LEASE_TERM_MS,
         }
     }
 }
 
-/// What came of it, from the record.
+/// The result of a trial, from the record.
 #[derive(Debug)]
 pub struct Verdict {
     pub breaches: Vec<String>,
-    pub acts: u64,
-    pub changes: u64,
-    pub events: u64,
+    pub effects: u64,
+    pub holder_changes: u64,
+    pub requests: u64,
     pub datagrams: u64,
-    /// Events that crossed the end of a gateway that was told to go: the native door answers nothing that comes between its
-    /// last look and its end (`docs/ROADMAP.md`). They are counted apart, and bounded by each trial.
-    pub crossed: usize,
-    /// Tasks on which somebody acted in the last term.
-    pub held: usize,
+    /// Requests that crossed the shutdown of a gateway after SIGTERM: the native-protocol ingress does not
+    /// answer requests that arrive between its last read and its end (`docs/ROADMAP.md`). They are counted
+    /// separately, and each trial bounds them.
+    pub crossed_shutdown: usize,
+    /// Leases under which an effect was recorded in the last half term of the trial.
+    pub held_leases: usize,
 }
 
 #[derive(Clone, Default)]
-struct Record(Rc<RefCell<Vec<u8>>>);
+struct SharedBuffer(Rc<RefCell<Vec<u8>>>);
 
-impl Write for Record {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.borrow_mut().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -105,16 +114,16 @@
     }
 }
 
-struct Nobody;
+struct NoopGateways;
 
-impl Gateways for Nobody {
+impl Gateways for NoopGateways {
     fn kill(&mut self, _: usize) {}
     fn start(&mut self, _: usize) {}
     fn still(&mut self, _: usize, _: bool) {}
 }
 
-/// The shipped program: built beside this test, or now.
-fn binary() -> PathBuf {
+/// The path of the shipped program in the folder of this test; cargo builds it once if it is not up to date.
+fn program_path() -> PathBuf {
     let mut dir = std::env::current_exe().expect("a test has a path");
     dir.pop();
     if dir.ends_with("deps") {
@@ -134,34 +143,35 @@
     dir.join("tidewall")
 }
 
-/// Addresses of one trial, apart from those of others that run at the same time.
-fn at(seed: u64, last: usize, port: u16) -> String {
+/// An address of this trial. Process id and seed are part of it, so that trials that run at the same time
+/// don't collide.
+fn trial_address(seed: u64, host: usize, port: u16) -> String {
     let own = std::process::id() % 200 + 20;
-    format!("127.{own}.{}.{last}:{port}", seed % 250 + 1)
+    format!("127.{own}.{}.{host}:{port}", seed % 250 + 1)
 }
 
-const HALLS: [&str; 3] = ["north", "east", "west"];
+const ZONES: [&str; 3] = ["north", "east", "west"];
 
-fn settings(setup: &Setup, me: usize, keys: &Path) -> String {
+fn settings(setup: &Setup, member: usize, keys: &Path) -> String {
     let mut text = String::new();
     for m in 0..MEMBERS {
         text += &format!(
             "gateway {{ name: \"g{m}\" address: \"{}\" zone: \"{}\" common_address: \"{}\" common_reached_at: \"{}\" }}\n",
-            at(setup.seed, m + 1, 8_000),
-            HALLS[m % 3],
-            at(setup.seed, m + 1, 9_000),
-            at(setup.seed, m + 101, 9_000)
+            trial_address(setup.seed, m + 1, 8_000),
+            ZONES[m % 3],
+            trial_address(setup.seed, m + 1, 9_000),
+            trial_address(setup.seed, m + 101, 9_000)
         );
     }
     text += &format!(
         "fleet_common {{ keeper: [\"g0\", \"g1\", \"g2\"] leases: {LEASES} term_ms: {} clocks_ppm: 100000 ticket_ms: 150 \
          period_ms: 100 turn_ms: 40 key_file: \"{}\" channel: {} trial_clock_ppm: {} }}\n",
-        setup.term,
+        setup.term_ms,
         keys.display(),
-        setup.channel,
-        setup.clocks[me]
+        setup.channel_capacity,
+        setup.clock_errors_ppm[member]
     );
-    text + &FLEET.replace("ROSTER", &at(setup.seed, 200, 7_000))
+    text + &FLEET.replace("ROSTER", &trial_address(setup.seed, 200, 7_000))
 }
 
 const FLEET: &str = r#"
@@ -184,16 +194,16 @@
 
 struct Processes {
     dir: tempfile::TempDir,
-    left_out: &'static str,
+    disabled_safeguard: &'static str,
     children: Vec<Option<Child>>,
-    /// Told to go: they start again when they have ended.
-    goes: Vec<bool>,
+    /// Members that received SIGTERM; they are started again when they have ended.
+    terminating: Vec<bool>,
 }
 
 impl Processes {
     fn start(&mut self, m: usize) {
         let log = std::fs::File::create(self.dir.path().join(format!("g{m}.log"))).expect("a log");
-        let child = Command::new(binary())
+        let child = Command::new(program_path())
             .args([
                 "--log",
                 "info",
@@ -203,7 +213,7 @@
                 "--seed",
                 &(m + 1).to_string(),
             ])
-            .args(["--left-out", self.left_out, "--config"])
+            .args(["--left-out", self.disabled_safeguard, "--config"])
             .arg(self.dir.path().join(format!("g{m}.txtpb")))
             .stdout(Stdio::null())
             .stderr(log)
@@ -213,7 +223,7 @@
 
     fn signal(&self, m: usize, signal: i32) {
         if let Some(child) = &self.children[m] {
-            // A process of our own, by its id.
+            // SAFETY: kill takes no pointers; the id is that of our own child, which was not waited for yet.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
@@ -232,8 +242,8 @@
     }
 }
 
-/// Tasks on which anybody acted since then, and who did last, by the record.
-fn acted(record: &[u8], since: Time) -> BTreeMap<u64, usize> {
+/// The leases under which the record has effects since that time, each with the member of the latest effect.
+fn last_effects(record: &[u8], since: Time) -> BTreeMap<u64, usize> {
     let mut tasks = BTreeMap::new();
     for line in record.rsplit(|b| *b == b'\n').filter(|l| !l.is_empty()) {
         let row: Row = match serde_json::from_slice(line) {
@@ -250,12 +260,15 @@
     tasks
 }
 
-/// A script begins when for so long each member has had tasks, all tasks were held, and none changed hands: what a start hands
-/// over is over by then, or a fault might strike a member that holds nothing.
-const STILL: Duration = Duration::from_millis(1_500);
+/// A script begins once, for this long, all leases were held, each member held some, and none changed its
+/// holder. The handovers after a start have ended by then; otherwise a fault might hit a member that holds no
+/// lease.
+const SETTLED_FOR: Duration = Duration::from_millis(1_500);
 
-fn links(state: &Mutex<State>, change: impl Fn(usize, usize, &mut Link)) {
-    let mut state = state.lock().expect("nobody panics while it holds this");
+fn update_links(state: &Mutex<RelayState>, change: impl Fn(usize, usize, &mut Link)) {
+    let mut state = state
+        .lock()
+        .expect("no thread panics while it holds the lock");
     for a in 0..MEMBERS {
         for b in (0..MEMBERS).filter(|b| *b != a) {
             change(a, b, state.links.entry((a, b)).or_default());
@@ -263,8 +276,8 @@
     }
 }
 
-/// Plays it; panics where it cannot be played.
-pub fn play(setup: Setup) -> Verdict {
+/// Runs a trial; panics if it cannot be run.
+pub fn run_trial(setup: Setup) -> Verdict {
     let dir = tempfile::tempdir().expect("a folder");
     let keys = dir.path().join("keys");
     std::fs::write(&keys, "1 00112233445566778899aabbccddeeff\n").expect("keys");
@@ -275,108 +288,113 @@
         )
         .expect("settings");
     }
-    let s = tidewall_config::settings("trial", &settings(&setup, 0, &keys))
+    let parsed = tidewall_config::settings("trial", &settings(&setup, 0, &keys))
         .expect("the trial's settings are good");
-    let record = Record::default();
+    let record = SharedBuffer::default();
     let plan = Plan {
         seed: setup.seed,
         seconds: 0.0,
         clients: true,
         amqp: false,
         record: Box::new(record.clone()),
-        gateways: Box::new(Nobody),
+        gateways: Box::new(NoopGateways),
         fences: true,
         forgets: false,
-        task_epochs: setup.left_out != "no-epochs",
-        wild_clocks: setup.wild,
+        task_epochs: setup.disabled_safeguard != "no-epochs",
+        wild_clocks: setup.clocks_out_of_bounds,
     };
-    let mut fleet =
-        Fleet::new(Mio::new().expect("a net"), &s, None, plan).expect("its addresses are free");
-    let state: Arc<Mutex<State>> = Arc::default();
+    let mut fleet = Fleet::new(Mio::new().expect("a net"), &parsed, None, plan)
+        .expect("its addresses are free");
+    let state: Arc<Mutex<RelayState>> = Arc::default();
     let parse = |text: String| text.parse::<SocketAddr>().expect("an address");
-    let ways = (0..MEMBERS).map(|m| Way {
-        front: parse(at(setup.seed, m + 101, 9_000)),
-        back: parse(at(setup.seed, m + 1, 9_000)),
+    let routes = (0..MEMBERS).map(|m| MemberRoute {
+        relay_address: parse(trial_address(setup.seed, m + 101, 9_000)),
+        member_address: parse(trial_address(setup.seed, m + 1, 9_000)),
     });
     let workers: Vec<SocketAddr> = fleet.workers().iter().map(|w| w.1).collect();
-    let (told, seed, ways) = (state.clone(), setup.seed, ways.collect());
-    let (sender, fronts) = std::sync::mpsc::channel();
+    let (relay_state, seed, routes) = (state.clone(), setup.seed, routes.collect());
+    let (sender, relay_addresses) = std::sync::mpsc::channel();
     let relay = std::thread::spawn(move || {
-        let (mut relay, fronts) =
-            Relay::new(ways, &workers, told, seed).expect("its addresses are free");
-        sender.send(fronts).expect("somebody waits for it");
+        let (mut relay, relay_addresses) = Relay::new(routes, &workers, relay_state, seed)
+            .expect("the relay's addresses are free");
+        sender
+            .send(relay_addresses)
+            .expect("the trial waits for the addresses");
         mio::run(&mut relay).expect("the relay runs");
     });
-    fleet.fronts(&fronts.recv().expect("the relay stands"));
+    fleet.fronts(&relay_addresses.recv().expect("the relay has started"));
     let children = (0..MEMBERS).map(|_| None).collect();
     let mut processes = Processes {
         dir,
-        left_out: setup.left_out,
+        disabled_safeguard: setup.disabled_safeguard,
         children,
-        goes: vec![false; MEMBERS],
+        terminating: vec![false; MEMBERS],
     };
     (0..MEMBERS).for_each(|m| processes.start(m));
     let began = Instant::now();
-    // A keeper's silence, members that settle, and the first turns; a busy machine may need longer.
-    let mut all_held = None;
-    let (mut shares, mut since_when) = (BTreeMap::new(), Instant::now());
+    // Waits for the silence of grantors after a start, the membership to settle, and the first lease turns. A
+    // busy machine may take longer than usual.
+    let mut settled_at = None;
+    let (mut last_holders, mut stable_since) = (BTreeMap::new(), Instant::now());
     let mut script: std::collections::VecDeque<_> = setup.script.iter().cloned().collect();
-    let mut last: BTreeMap<usize, Instant> = BTreeMap::new();
-    let mut looked = Instant::now();
-    let ends = loop {
+    let mut ended_at: BTreeMap<usize, Instant> = BTreeMap::new();
+    let mut last_check = Instant::now();
+    let ended_time = loop {
         mio::turn(&mut fleet).expect("the stand-ins run");
         let now = fleet_now(&mut fleet);
-        if all_held.is_none() && looked.elapsed() > Duration::from_millis(50) {
-            looked = Instant::now();
-            let by = acted(&record.0.borrow(), now.saturating_sub(5_000));
-            let members: BTreeSet<usize> = by.values().copied().collect();
-            if by != shares || (by.len(), members.len()) != (LEASES, MEMBERS) {
-                (shares, since_when) = (by, Instant::now());
-            } else if since_when.elapsed() > STILL {
-                all_held = Some(Instant::now());
+        if settled_at.is_none() && last_check.elapsed() > Duration::from_millis(50) {
+            last_check = Instant::now();
+            let holders = last_effects(&record.0.borrow(), now.saturating_sub(5_000));
+            let members: BTreeSet<usize> = holders.values().copied().collect();
+            if holders != last_holders || (holders.len(), members.len()) != (LEASES, MEMBERS) {
+                (last_holders, stable_since) = (holders, Instant::now());
+            } else if stable_since.elapsed() > SETTLED_FOR {
+                settled_at = Some(Instant::now());
             }
             assert!(
                 began.elapsed() < Duration::from_secs(60),
-                "the tasks are not all held after a minute"
+                "the leases are not all held after a minute"
             );
         }
-        let Some(since) = all_held else { continue };
-        let past = since.elapsed().as_millis() as u64;
-        while script.front().is_some_and(|s| s.0 <= past) {
-            let (_, step) = script.pop_front().expect("it was there");
-            take(&step, &mut processes, &mut fleet, &state);
+        let Some(since) = settled_at else { continue };
+        let elapsed_ms = since.elapsed().as_millis() as u64;
+        while script.front().is_some_and(|s| s.0 <= elapsed_ms) {
+            let (_, step) = script.pop_front().expect("the script has a first step");
+            apply_step(&step, &mut processes, &mut fleet, &state);
         }
         for m in 0..MEMBERS {
-            let over = processes.goes[m]
+            let has_ended = processes.terminating[m]
                 && processes.children[m]
                     .as_mut()
-                    .is_some_and(|c| c.try_wait().expect("it is ours").is_some());
-            if over {
-                processes.goes[m] = false;
+                    .is_some_and(|c| c.try_wait().expect("the child can be waited for").is_some());
+            if has_ended {
+                processes.terminating[m] = false;
                 fleet.killed(m, true);
                 processes.kill(m);
-                last.insert(m, Instant::now());
+                ended_at.insert(m, Instant::now());
             }
-            if last
+            if ended_at
                 .get(&m)
                 .is_some_and(|at| at.elapsed() > Duration::from_millis(100))
             {
-                last.remove(&m);
+                ended_at.remove(&m);
                 processes.start(m);
                 fleet.killed(m, false);
             }
         }
-        if past >= setup.lasts
+        if elapsed_ms >= setup.min_duration_ms
             && script.is_empty()
-            && !processes.goes.contains(&true)
-            && last.is_empty()
+            && !processes.terminating.contains(&true)
+            && ended_at.is_empty()
         {
-            // Whatever a planted fault is to show has been shown; else all have to be held again.
-            let held = acted(&record.0.borrow(), now.saturating_sub(5 * setup.term)).len();
-            if setup.left_out != "nothing"
-                || setup.wild
-                || held == LEASES
-                || past > setup.lasts + 30_000
+            // With a disabled safeguard or a clock beyond its bound the fault has shown by this time;
+            // otherwise all leases have to be held again.
+            let held_leases =
+                last_effects(&record.0.borrow(), now.saturating_sub(5 * setup.term_ms)).len();
+            if setup.disabled_safeguard != "nothing"
+                || setup.clocks_out_of_bounds
+                || held_leases == LEASES
+                || elapsed_ms > setup.min_duration_ms + 30_000
             {
                 break now;
             }
@@ -384,20 +402,26 @@
     };
     state
         .lock()
-        .expect("nobody panics while it holds this")
+        .expect("no thread panics while it holds the lock")
         .stop = true;
     relay.join().expect("the relay ends");
-    let held = acted(&record.0.borrow(), ends.saturating_sub(5 * setup.term)).len();
-    // A folder that is kept is looked at later.
+    let held_leases = last_effects(
+        &record.0.borrow(),
+        ended_time.saturating_sub(5 * setup.term_ms),
+    )
+    .len();
+    // The processes' folder also holds their logs.
     let logs = processes.dir.path().to_path_buf();
     (0..MEMBERS).for_each(|m| processes.kill(m));
     fleet.flush();
     let bytes = record.0.borrow().clone();
-    // Kept for a look where that is asked for.
+    // Keeps the record for inspection if `TIDEWALL_TRIALS_KEEP` names a folder, and the logs if leases are
+    // not held.
     if let Some(dir) = std::env::var_os("TIDEWALL_TRIALS_KEEP") {
-        let file = Path::new(&dir).join(format!("{}-{}.jsonl", setup.seed, setup.left_out));
+        let file =
+            Path::new(&dir).join(format!("{}-{}.jsonl", setup.seed, setup.disabled_safeguard));
         std::fs::write(file, &bytes).expect("the record is kept");
-        if held < LEASES {
+        if held_leases < LEASES {
             for m in 0..MEMBERS {
                 let to =
                     Path::new(&dir).join(format!("{}-{}-g{m}.log", setup.seed, std::process::id()));
@@ -413,22 +437,22 @@
     let rules = audit.verdicts.iter().enumerate();
     let datagrams = state
         .lock()
-        .expect("nobody panics while it holds this")
-        .passed;
-    let told: BTreeSet<usize> = setup
+        .expect("no thread panics while it holds the lock")
+        .forwarded;
+    let terminated: BTreeSet<usize> = setup
         .script
         .iter()
         .filter_map(|s| {
-            if let Step::Term(m) = s.1 {
+            if let Step::Terminate(m) = s.1 {
                 Some(m)
             } else {
                 None
             }
         })
         .collect();
-    let crosses = |b: &String| {
+    let crosses_shutdown = |b: &String| {
         b.starts_with("rule 1")
-            && told
+            && terminated
                 .iter()
                 .any(|m| b.ends_with(&format!("was dropped by gateway {m} with its connection")))
     };
@@ -437,15 +461,15 @@
             .iter()
             .map(move |b| format!("rule {}: {b}", i + 1))
     });
-    let (crossed, breaches): (Vec<String>, Vec<String>) = all.partition(crosses);
+    let (crossed_shutdown, breaches): (Vec<String>, Vec<String>) = all.partition(crosses_shutdown);
     Verdict {
         breaches,
-        crossed: crossed.len(),
-        acts: audit.acts,
-        changes: audit.verdicts[5].cases,
-        events: fleet.results().events,
+        crossed_shutdown: crossed_shutdown.len(),
+        effects: audit.acts,
+        holder_changes: audit.verdicts[5].cases,
+        requests: fleet.results().events,
         datagrams,
-        held,
+        held_leases,
     }
 }
 
@@ -453,7 +477,12 @@
     tidewall_net::App::net(fleet).now()
 }
 
-fn take(step: &Step, processes: &mut Processes, fleet: &mut Fleet<Mio>, state: &Mutex<State>) {
+fn apply_step(
+    step: &Step,
+    processes: &mut Processes,
+    fleet: &mut Fleet<Mio>,
+    state: &Mutex<RelayState>,
+) {
     match step {
         Step::Kill(m) => {
             fleet.killed(*m, true);
@@ -463,46 +492,46 @@
             processes.start(*m);
             fleet.killed(*m, false);
         }
-        Step::Stand(m) => {
+        Step::Pause(m) => {
             fleet.apart(*m, true);
             processes.signal(*m, libc::SIGSTOP);
         }
-        Step::Go(m) => {
+        Step::Resume(m) => {
             processes.signal(*m, libc::SIGCONT);
             fleet.apart(*m, false);
         }
-        Step::Term(m) => {
+        Step::Terminate(m) => {
             processes.signal(*m, libc::SIGTERM);
-            processes.goes[*m] = true;
+            processes.terminating[*m] = true;
         }
-        Step::Cut(side, out, into) => links(state, |a, b, link| {
+        Step::Cut(side, out, into) => update_links(state, |a, b, link| {
             let (from, to) = (side.contains(&a), side.contains(&b));
             link.cut |= *out && from && !to || *into && !from && to;
         }),
-        Step::Links(like) => links(state, |_, _, link| *link = *like),
-        Step::Into(m, like) => links(state, |_, b, link| {
+        Step::Links(faults) => update_links(state, |_, _, link| *link = *faults),
+        Step::LinksTo(m, faults) => update_links(state, |_, b, link| {
             if b == *m {
-                *link = *like;
+                *link = *faults;
             }
         }),
-        Step::Acts(m, like) => {
+        Step::EffectLinks(m, faults) => {
             state
                 .lock()
-                .expect("nobody panics while it holds this")
-                .acts
-                .insert(*m, *like);
+                .expect("no thread panics while it holds the lock")
+                .effect_links
+                .insert(*m, *faults);
         }
-        Step::Break(m) => state
+        Step::ResetConnections(m) => state
             .lock()
-            .expect("nobody panics while it holds this")
-            .breaks
+            .expect("no thread panics while it holds the lock")
+            .members_to_reset
             .push(*m),
-        Step::Mend => {
-            links(state, |_, _, link| *link = Link::default());
+        Step::ClearFaults => {
+            update_links(state, |_, _, link| *link = Link::default());
             state
                 .lock()
-                .expect("nobody panics while it holds this")
-                .acts
+                .expect("no thread panics while it holds the lock")
+                .effect_links
                 .clear();
         }
     }
