--- a/crates/tidewall-soak/src/main.rs
+++ b/crates/tidewall-soak/src/main.rs
@@ -1,7 +1,9 @@
-//! The soak: gateways of the shipped program under faults that are drawn from a seed and overlap, judged by the rules from what
-//! their clients, hosts and boards saw, and by the violations that they count themselves.
+//! The soak test: runs gateway processes of the shipped program under overlapping faults that are drawn from
+//! a seed. It checks the rules from what the clients, hosts and discovery servers observed, and from the
+//! violations that the gateways count.
 //!
-//! A seed fixes the plan, which is printed where a rule is broken, and not the interleaving of the processes.
+//! A seed determines the plan, which is printed if a rule is broken, but not the interleaving of the
+//! processes.
 mod judge;
 mod plan;
 mod processes;
@@ -17,21 +19,21 @@
 use std::path::Path;
 use std::process::ExitCode;
 use tidewall_net::mio;
-use world::World;
+use world::Harness;
 
 /// Gateways under drawn, overlapping faults.
 #[derive(Parser)]
 struct Arguments {
-    /// The seeds to play, one after the other: A..B, B not included.
+    /// The seeds to run, one after the other: A..B, B not included.
     #[arg(long, default_value = "0..3")]
     seeds: String,
     /// Gateways, each a process.
     #[arg(long, default_value_t = 6)]
     gateways: usize,
-    /// How long each seed is played.
+    /// How many seconds each seed runs.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Plans about a long outage of discovery, with drains, series of signals and crowds in it.
+    /// Draw plans about a long outage of discovery, with drains, series of signals and load peaks in it.
     #[arg(long)]
     outages: bool,
     /// Where the record of a failing seed is kept.
@@ -39,11 +41,12 @@
     records: String,
 }
 
-/// More gateways than this are not started: a few hundred processes at most.
+/// The largest number of gateways, which keeps the soak to a few hundred processes.
 const MAX_GATEWAYS: usize = 200;
 
-/// What is left after the last call: the longest deadline, half a second, and the stop.
-const AFTER: u64 = 8 * SECOND;
+/// How long the soak waits after the last call, in tenths of a millisecond: for the longest deadline, half a
+/// second for late answers, and the gateways' shutdown.
+const SETTLE_TIME: u64 = 8 * SECOND;
 
 fn seeds(text: &str) -> Option<std::ops::Range<u64>> {
     let (from, to) = text.split_once("..")?;
@@ -68,7 +71,7 @@
             Plan::draw
         };
         let plan = draw(seed, arguments.gateways, arguments.seconds);
-        match play(&plan, Path::new(&arguments.records)) {
+        match run_plan(&plan, Path::new(&arguments.records)) {
             Ok(broken) => failed += u32::from(broken > 0),
             Err(error) => {
                 eprintln!("seed {seed}: {error}");
@@ -83,38 +86,41 @@
     ExitCode::SUCCESS
 }
 
-/// Plays one plan; gives how many rules were broken.
-fn play(plan: &Plan, records: &Path) -> std::io::Result<usize> {
+/// Runs one plan; returns the number of broken rules.
+fn run_plan(plan: &Plan, records: &Path) -> std::io::Result<usize> {
     let folder = tempfile::tempdir()?;
-    let mut world = World::new(plan.clone(), folder.path())?;
-    run_until(&mut world, |world| world.elapsed() >= plan.length)?;
-    // Calls that are out are still answered.
-    world.stop();
-    let end = world.elapsed() + AFTER;
-    run_until(&mut world, |world| {
-        world.elapsed() >= end || world.has_ended()
+    let mut harness = Harness::new(plan.clone(), folder.path())?;
+    run_until(&mut harness, |harness| harness.elapsed() >= plan.length)?;
+    // Gateways still answer open calls after they were told to stop.
+    harness.stop();
+    let end = harness.elapsed() + SETTLE_TIME;
+    run_until(&mut harness, |harness| {
+        harness.elapsed() >= end || harness.has_ended()
     })?;
-    let judged_at = world.now();
-    let broken = judge::broken_rules(&world.record, judged_at);
-    report(plan, &mut world, &broken);
+    let checked_at = harness.now();
+    let broken = judge::broken_rules(&harness.record, checked_at);
+    report(plan, &mut harness, &broken);
     if !broken.is_empty() {
-        keep(plan, &world, &broken, records)?;
+        keep_record(plan, &harness, &broken, records)?;
     }
     Ok(broken.len())
 }
 
-/// Runs the event loop until it holds.
-fn run_until(world: &mut World, mut holds: impl FnMut(&mut World) -> bool) -> std::io::Result<()> {
-    world.resume();
-    while !holds(world) {
-        mio::turn(world)?;
+/// Runs the event loop until the condition holds.
+fn run_until(
+    harness: &mut Harness,
+    mut condition: impl FnMut(&mut Harness) -> bool,
+) -> std::io::Result<()> {
+    harness.resume();
+    while !condition(harness) {
+        mio::turn(harness)?;
     }
-    world.pause();
+    harness.pause();
     Ok(())
 }
 
-fn report(plan: &Plan, world: &mut World, broken: &[String]) {
-    let record = &world.record;
+fn report(plan: &Plan, harness: &mut Harness, broken: &[String]) {
+    let record = &harness.record;
     let answered = record
         .calls
         .iter()
@@ -154,19 +160,24 @@
     }
 }
 
-/// Keeps the record of a failing seed: what was broken, and the gateways' logs.
-fn keep(plan: &Plan, world: &World, broken: &[String], records: &Path) -> std::io::Result<()> {
+/// Writes the record of a failing seed: the plan, the broken rules, and the gateways' logs.
+fn keep_record(
+    plan: &Plan,
+    harness: &Harness,
+    broken: &[String],
+    records: &Path,
+) -> std::io::Result<()> {
     let folder = records.join(format!("seed-{}", plan.seed));
     std::fs::create_dir_all(&folder)?;
-    let mut file = std::fs::File::create(folder.join("broken.txt"))?;
-    writeln!(file, "{plan:?}")?;
+    let mut broken_file = std::fs::File::create(folder.join("broken.txt"))?;
+    writeln!(broken_file, "{plan:?}")?;
     for line in broken {
-        writeln!(file, "{line}")?;
+        writeln!(broken_file, "{line}")?;
     }
-    for (number, gateway) in world.gateways.iter().enumerate() {
+    for (number, gateway) in harness.gateways.iter().enumerate() {
         std::fs::write(
             folder.join(format!("n{number}.log")),
-            gateway.logged("").join("\n"),
+            gateway.log_lines("").join("\n"),
         )?;
     }
     println!("  record kept in {}", folder.display());
--- a/crates/tidewall-soak/src/plan.rs
+++ b/crates/tidewall-soak/src/plan.rs
@@ -1,5 +1,5 @@
-//! What a seed stands for: the fleet, its settings, and what goes wrong when. The plan is the same each time, the interleaving of
-//! the processes is not.
+//! The plan of a seed: the fleet, its settings, and the faults with their times. The plan of a seed is always
+//! the same, the interleaving of the processes is not.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::ops::Range;
@@ -7,46 +7,49 @@
 /// Tenths of a millisecond in a second.
 pub const SECOND: u64 = 10_000;
 
-/// Groups of hosts that are listed at a time; a release replaces the oldest.
+/// The number of host groups that discovery lists at a time; a release replaces the oldest.
 pub const LISTED_GROUPS: usize = 5;
 
-/// Something that goes wrong, or a planned change.
+/// A fault or a planned change. Spans are in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The hosts of the group at this position of the list take everything and answer nothing, for so long.
+    /// The hosts of the active group at this position accept all input and answer nothing, for this span.
     HostsHang(usize, u64),
-    /// All connections of that group are reset.
+    /// All connections to the hosts of the group are reset.
     HostsReset(usize),
-    /// That group closes its connections that have nothing open.
+    /// The hosts of the group close their connections that have no pending answers.
     HostsCloseIdle(usize),
-    /// The oldest group drains and is gone a second later; a new one starts.
+    /// The oldest group drains, and is removed 3 s after that counts as known to the gateways; a new one
+    /// starts.
     Release,
-    /// The board answers nothing for so long.
+    /// The discovery server answers nothing for this span.
     BoardSilent(u64),
-    /// The board can be reached and each of its answers comes late by the first span, for the second one.
+    /// The discovery server is reachable, but each of its answers is delayed by the first span, for the
+    /// duration of the second.
     BoardSlow(u64, u64),
-    /// All connections to the board are reset, and new ones as they come, for so long.
+    /// All connections to the discovery server are reset, and each new one as well, for this span.
     BoardDrops(u64),
-    /// All connections to the board are reset.
+    /// All connections to the discovery server are reset once.
     BoardReset,
-    /// The group at this position drains and stays up for so long, turning all work away; it is gone for so long, and comes back
-    /// empty and cold.
+    /// The group at this position drains and refuses all work for the first span; it is removed for the
+    /// second span, and then comes back without loaded instances.
     Drain(usize, u64, u64),
-    /// Several new configurations in a row, each with SIGHUP; the last of them names the board that was there before.
+    /// Four reloads of a gateway within half a second, each with SIGHUP; the last one names the original
+    /// discovery server.
     ReloadSeries(usize),
-    /// SIGTERM to a gateway, and SIGHUP behind it, twice.
+    /// SIGTERM to a gateway, followed by SIGHUP twice.
     RestartSeries(usize),
-    /// A new configuration with another board's address, and SIGHUP.
+    /// A new configuration with the address of another discovery server, and SIGHUP.
     Reload(usize),
-    /// SIGTERM to a gateway, SIGKILL as early as the page allows, and a start.
+    /// SIGTERM to a gateway, SIGKILL as early as the platform's specification allows, and a start.
     Restart(usize),
-    /// SIGKILL to a gateway, and a start.
+    /// SIGKILL to a gateway, and a start afterwards.
     Kill(usize),
-    /// A gateway stands still for so long (SIGSTOP, SIGCONT).
+    /// A gateway is paused for this span (SIGSTOP, SIGCONT).
     Pause(usize, u64),
-    /// The wall clock of all gateways is off by so many seconds from now on.
+    /// The wall clocks of all gateways are off by this many seconds from then on.
     ClockStep(i64),
-    /// A client sends garbage to a gateway.
+    /// A client sends malformed input to a gateway.
     Garbage(usize),
 }
 
@@ -59,17 +62,17 @@
     pub gateways: usize,
     /// Hosts in a group.
     pub group_size: usize,
-    /// Functions that are called, the first ones most often.
+    /// The number of functions that are called, the first ones most often.
     pub functions: u64,
     /// Calls a second at each gateway.
     pub rate: u64,
     /// How long clients wait, in milliseconds.
     pub patience_ms: Range<u64>,
-    /// Of 10,000 system calls so many fail or are cut short.
+    /// How many of 10,000 system calls fail or are cut short.
     pub call_failures: u64,
-    /// Client connections to each gateway: many where a crowd comes.
+    /// Client connections to each gateway: more in plans with a load peak.
     pub connections: usize,
-    /// What the settings allow to be asked, and how hosts that drain answer it.
+    /// Which queries the settings allow, and how draining hosts answer them.
     pub drain_answers: DrainAnswers,
     /// How long calls are sent, in tenths of a millisecond.
     pub length: u64,
@@ -77,7 +80,7 @@
     pub faults: Vec<(u64, Fault)>,
 }
 
-/// How hosts that drain answer what the drain rule exempts.
+/// How draining hosts answer the queries that the drain rule exempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DrainAnswers {
     /// Health checks are allowed, and answered `no`.
@@ -88,15 +91,15 @@
     QueryRefusedOnly,
 }
 
-/// Client connections to a gateway; where a crowd comes, and so many times the calls.
+/// Client connections to a gateway without and with a load peak, and the factor on the call rate in a peak.
 const CONNECTIONS: usize = 6;
-const CROWD_CONNECTIONS: usize = 30;
-const CROWD_RATE: u64 = 5;
+const PEAK_CONNECTIONS: usize = 30;
+const PEAK_RATE_FACTOR: u64 = 5;
 
-/// Faults a second in the mean: several at a time, as most last.
-const FAULTS_A_SECOND: f64 = 1.5;
+/// The mean number of faults per second; as most faults last, several overlap.
+const FAULTS_PER_SECOND: f64 = 1.5;
 
-/// The kinds of plans about outages of discovery with their weights.
+/// The weights of the fault kinds in plans about outages of discovery.
 const OUTAGE_WEIGHTS: [(u32, Kind); 10] = [
     (1, Kind::BoardSlow),
     (4, Kind::Drain),
@@ -110,10 +113,10 @@
     (1, Kind::ClockStep),
 ];
 
-/// Faults a second beside an outage.
-const FAULTS_IN_AN_OUTAGE: f64 = 0.7;
+/// The mean number of further faults per second in a plan about an outage.
+const OUTAGE_FAULTS_PER_SECOND: f64 = 0.7;
 
-/// The kinds with their weights. Releases and restarts are what most of the rules are about.
+/// The weights of the fault kinds. Releases and restarts weigh most, as most of the rules concern them.
 const WEIGHTS: [(u32, Kind); 12] = [
     (2, Kind::HostsHang),
     (2, Kind::HostsReset),
@@ -150,26 +153,26 @@
 }
 
 impl Plan {
-    /// The plan of a seed for so many gateways and seconds.
+    /// Draws the plan of a seed for this number of gateways and seconds.
     pub fn draw(seed: u64, gateways: usize, seconds: u64) -> Plan {
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let length = seconds * SECOND;
-        let patience_ms = match random.random_range(0..4) {
+        let patience_ms = match rng.random_range(0..4) {
             0 => 20..120,
             1 => 100..500,
             _ => 400..2_000,
         };
-        // In one of three plans nothing goes wrong for the first half.
-        let quiet = if random.random_ratio(1, 3) {
+        // In one of three plans there are no faults in the first half.
+        let quiet_until = if rng.random_ratio(1, 3) {
             length / 2
         } else {
             SECOND
         };
         let mut faults = Vec::new();
-        let count = ((length - quiet) as f64 / SECOND as f64 * FAULTS_A_SECOND) as usize;
+        let count = ((length - quiet_until) as f64 / SECOND as f64 * FAULTS_PER_SECOND) as usize;
         for _ in 0..count.max(1) {
-            let at = random.random_range(quiet..length);
-            faults.push((at, draw_fault(&mut random, &WEIGHTS, gateways)));
+            let at = rng.random_range(quiet_until..length);
+            faults.push((at, draw_fault(&mut rng, &WEIGHTS, gateways)));
         }
         faults.sort_by_key(|(at, _)| *at);
         Plan {
@@ -177,52 +180,52 @@
             drain_answers: DrainAnswers::Unhealthy,
             seed,
             gateways,
-            group_size: [10, 40, 640][random.random_range(0..3)],
-            functions: [40, 2_000][random.random_range(0..2)],
-            rate: random.random_range(10..80),
+            group_size: [10, 40, 640][rng.random_range(0..3)],
+            functions: [40, 2_000][rng.random_range(0..2)],
+            rate: rng.random_range(10..80),
             patience_ms,
-            call_failures: [0, 5, 30][random.random_range(0..3)],
+            call_failures: [0, 5, 30][rng.random_range(0..3)],
             length,
             faults,
         }
     }
 
-    /// The plan of a seed about a long outage of discovery: workers drain, leave and come back, and gateways restart in it. One in
-    /// four has a crowd.
+    /// Draws the plan of a seed about a long outage of discovery, during which workers drain, leave and come
+    /// back, and gateways restart. One in four plans has a load peak.
     pub fn draw_outage(seed: u64, gateways: usize, seconds: u64) -> Plan {
         let base = Plan::draw(seed, gateways, seconds);
-        let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x0a7a6e);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0a7a6e);
         let length = base.length;
-        let begins = random.random_range(SECOND..length / 4);
-        let span = random.random_range(length / 3..length * 3 / 4);
-        let outage = if random.random_bool(0.5) {
+        let outage_start = rng.random_range(SECOND..length / 4);
+        let span = rng.random_range(length / 3..length * 3 / 4);
+        let outage = if rng.random_bool(0.5) {
             Fault::BoardSilent(span)
         } else {
             Fault::BoardDrops(span)
         };
-        let drains = Fault::Drain(0, random.random_range(length / 4..length), SECOND);
+        let drains = Fault::Drain(0, rng.random_range(length / 4..length), SECOND);
         let mut faults = vec![
-            (begins, outage),
-            (begins + random.random_range(0..3 * SECOND), drains),
+            (outage_start, outage),
+            (outage_start + rng.random_range(0..3 * SECOND), drains),
         ];
-        let count = (length as f64 / SECOND as f64 * FAULTS_IN_AN_OUTAGE) as usize;
+        let count = (length as f64 / SECOND as f64 * OUTAGE_FAULTS_PER_SECOND) as usize;
         for _ in 0..count {
-            let at = random.random_range(SECOND / 2..length);
-            faults.push((at, draw_fault(&mut random, &OUTAGE_WEIGHTS, gateways)));
+            let at = rng.random_range(SECOND / 2..length);
+            faults.push((at, draw_fault(&mut rng, &OUTAGE_WEIGHTS, gateways)));
         }
         faults.sort_by_key(|(at, _)| *at);
-        let has_crowd = seed % 4 == 3;
+        let has_peak = seed % 4 == 3;
         Plan {
             faults,
-            group_size: [2, 3, 10][random.random_range(0..3)],
+            group_size: [2, 3, 10][rng.random_range(0..3)],
             functions: 40,
-            connections: if has_crowd {
-                CROWD_CONNECTIONS
+            connections: if has_peak {
+                PEAK_CONNECTIONS
             } else {
                 CONNECTIONS
             },
-            rate: if has_crowd {
-                CROWD_RATE * base.rate
+            rate: if has_peak {
+                PEAK_RATE_FACTOR * base.rate
             } else {
                 base.rate
             },
@@ -230,7 +233,7 @@
                 DrainAnswers::Unhealthy,
                 DrainAnswers::QueryRefused,
                 DrainAnswers::QueryRefusedOnly,
-            ][random.random_range(0..3)],
+            ][rng.random_range(0..3)],
             ..base
         }
     }
@@ -241,39 +244,39 @@
     }
 }
 
-fn draw_fault(random: &mut ChaCha8Rng, weights: &[(u32, Kind)], gateways: usize) -> Fault {
+fn draw_fault(rng: &mut ChaCha8Rng, weights: &[(u32, Kind)], gateways: usize) -> Fault {
     let total: u32 = weights.iter().map(|(weight, _)| weight).sum();
-    let mut drawn = random.random_range(0..total);
+    let mut drawn = rng.random_range(0..total);
     let kind = weights.iter().find(|(weight, _)| {
         let found = drawn < *weight;
         drawn = drawn.saturating_sub(*weight);
         found
     });
-    let group = random.random_range(0..LISTED_GROUPS);
-    let gateway = random.random_range(0..gateways);
+    let group = rng.random_range(0..LISTED_GROUPS);
+    let gateway = rng.random_range(0..gateways);
     match kind.map_or(Kind::Release, |(_, kind)| *kind) {
-        Kind::HostsHang => Fault::HostsHang(group, random.random_range(SECOND / 2..5 * SECOND)),
+        Kind::HostsHang => Fault::HostsHang(group, rng.random_range(SECOND / 2..5 * SECOND)),
         Kind::HostsReset => Fault::HostsReset(group),
         Kind::HostsCloseIdle => Fault::HostsCloseIdle(group),
         Kind::Release => Fault::Release,
-        Kind::BoardSilent => Fault::BoardSilent(random.random_range(SECOND..6 * SECOND)),
+        Kind::BoardSilent => Fault::BoardSilent(rng.random_range(SECOND..6 * SECOND)),
         Kind::BoardReset => Fault::BoardReset,
         Kind::Reload => Fault::Reload(gateway),
         Kind::Restart => Fault::Restart(gateway),
         Kind::Kill => Fault::Kill(gateway),
-        Kind::Pause => Fault::Pause(gateway, random.random_range(SECOND / 50..SECOND / 4)),
+        Kind::Pause => Fault::Pause(gateway, rng.random_range(SECOND / 50..SECOND / 4)),
         Kind::ClockStep => {
             let steps = [-3_600, -5, 5, 3_600];
-            Fault::ClockStep(steps[random.random_range(0..steps.len())])
+            Fault::ClockStep(steps[rng.random_range(0..steps.len())])
         }
         Kind::Garbage => Fault::Garbage(gateway),
         Kind::Drain => {
-            let stays = random.random_range(4 * SECOND..16 * SECOND);
-            Fault::Drain(group, stays, random.random_range(SECOND / 2..3 * SECOND))
+            let stays = rng.random_range(4 * SECOND..16 * SECOND);
+            Fault::Drain(group, stays, rng.random_range(SECOND / 2..3 * SECOND))
         }
         Kind::BoardSlow => {
-            let late_by = random.random_range(SECOND / 20..3 * SECOND);
-            Fault::BoardSlow(late_by, random.random_range(3 * SECOND..12 * SECOND))
+            let late_by = rng.random_range(SECOND / 20..3 * SECOND);
+            Fault::BoardSlow(late_by, rng.random_range(3 * SECOND..12 * SECOND))
         }
         Kind::ReloadSeries => Fault::ReloadSeries(gateway),
         Kind::RestartSeries => Fault::RestartSeries(gateway),
--- a/crates/tidewall-soak/src/processes.rs
+++ b/crates/tidewall-soak/src/processes.rs
@@ -1,4 +1,4 @@
-//! The gateways as processes: their configuration, start, signals and what they log.
+//! The gateway processes: their configuration, start, signals and logs.
 use crate::plan::Plan;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,39 +8,40 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The last lines of a gateway's log that are kept.
-const KEPT_LINES: usize = 40_000;
+/// The largest number of log lines that are kept for a gateway; when it is reached, the older half is
+/// dropped.
+const MAX_LOG_LINES: usize = 40_000;
 
-/// What the soak asks of the folder of programs that it stands in.
+/// The files that the soak expects in the folder of its own executable.
 const PROGRAM: &str = "tidewall";
 const SHIM: &str = "libtidewall_fault_shim.so";
 
-/// One gateway: its place and its process, while it runs.
+/// One gateway: its address, its folder, and its process while it runs.
 pub struct Gateway {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
     folder: PathBuf,
     child: Option<Child>,
-    /// Its log, over all of its processes.
+    /// The log lines of all of its processes so far.
     pub log: Arc<Mutex<Vec<String>>>,
-    /// When it was told to stop; none while it runs.
+    /// When it received SIGTERM; none before that.
     pub stopping_at: Option<u64>,
-    /// When it was killed, last.
+    /// When it was last killed by a planned fault.
     pub killed_at: Option<u64>,
     started_at: Instant,
     starts: u64,
 }
 
-/// No signal comes in a process's first second, as the page has it.
-const UNSIGNALLED: Duration = Duration::from_secs(1);
+/// The platform's specification rules out signals in the first second of a process.
+const SIGNAL_FREE_START: Duration = Duration::from_secs(1);
 
-fn program(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("a program knows its file");
+fn program_path(name: &str) -> PathBuf {
+    let own = std::env::current_exe().expect("the path of the own executable is known");
     own.with_file_name(name)
 }
 
 impl Gateway {
-    /// A gateway that does not run yet, with a folder of its own.
+    /// Creates a gateway that does not run yet, and its folder.
     pub fn new(address: SocketAddr, folder: &Path) -> Gateway {
         std::fs::create_dir_all(folder).expect("the temporary folder can be written");
         Gateway {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Replaces its configuration file, completely or not at all.
+    /// Replaces its configuration file atomically.
     pub fn configure(&self, text: &str) {
         let (new, file) = (
             self.folder.join("config.new"),
@@ -65,15 +66,16 @@
         std::fs::rename(&new, &file).expect("the temporary folder can be written");
     }
 
-    /// Starts its process, with the shim where the plan has failing calls or clocks.
+    /// Starts its process with the fault shim, which fails system calls and shifts the wall clock as the plan
+    /// requires.
     pub fn start(&mut self, plan: &Plan, number: usize, clock: &Path) {
         self.starts += 1;
         let seed = plan.seed * 1_000 + number as u64 * 10 + self.starts;
-        let mut command = Command::new(program(PROGRAM));
+        let mut command = Command::new(program_path(PROGRAM));
         command
             .args(["--log", "debug", "platform"])
             .env("ROUTER_CONFIG", self.folder.join("config.json"))
-            .env("LD_PRELOAD", program(SHIM))
+            .env("LD_PRELOAD", program_path(SHIM))
             .env("TIDEWALL_SHIM_SEED", seed.to_string())
             .env("TIDEWALL_SHIM_RATE", plan.call_failures.to_string())
             .env("TIDEWALL_SHIM_CLOCK", clock)
@@ -93,9 +95,11 @@
         let log = self.log.clone();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                let mut log = log.lock().expect("nobody panics while it holds this");
-                if log.len() >= KEPT_LINES {
-                    log.drain(..KEPT_LINES / 2);
+                let mut log = log
+                    .lock()
+                    .expect("no thread panics while it holds the lock");
+                if log.len() >= MAX_LOG_LINES {
+                    log.drain(..MAX_LOG_LINES / 2);
                 }
                 log.push(line);
             }
@@ -105,9 +109,9 @@
         self.stopping_at = None;
     }
 
-    /// Whether it may get a signal that it is to act on.
-    pub fn takes_signals(&self) -> bool {
-        self.started_at.elapsed() >= UNSIGNALLED
+    /// Whether a signal may be sent to the process by now.
+    pub fn accepts_signals(&self) -> bool {
+        self.started_at.elapsed() >= SIGNAL_FREE_START
     }
 
     /// Sends a signal to its process, if it runs.
@@ -118,8 +122,8 @@
         }
     }
 
-    /// Whether it runs, and the exit code of a process that has ended since this was last asked.
-    pub fn check(&mut self) -> (bool, Option<String>) {
+    /// Whether the process runs, and its exit status if it has ended since the last call.
+    pub fn poll_exit(&mut self) -> (bool, Option<String>) {
         let Some(child) = &mut self.child else {
             return (false, None);
         };
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Kills its process and waits for its end.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -140,9 +144,12 @@
         }
     }
 
-    /// The last lines of its log that hold this text.
-    pub fn logged(&self, text: &str) -> Vec<String> {
-        let log = self.log.lock().expect("nobody panics while it holds this");
+    /// The kept log lines that contain this text.
+    pub fn log_lines(&self, text: &str) -> Vec<String> {
+        let log = self
+            .log
+            .lock()
+            .expect("no thread panics while it holds the lock");
         log.iter()
             .filter(|line| line.contains(text))
             .cloned()
--- a/crates/tidewall-soak/src/record.rs
+++ b/crates/tidewall-soak/src/record.rs
@@ -1,11 +1,12 @@
-//! What happened, as the clients and hosts saw it. Times are tenths of a millisecond by the soak's own clock.
+//! The record of what the clients and hosts observed. Times are in tenths of a millisecond by the soak's own
+//! clock.
 
 /// A class of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// May be executed any number of times.
     Check,
-    /// Has an idempotency key: within one zone and `KEY_WINDOW`.
+    /// Has an idempotency key, which permits repeats within one zone and `KEY_WINDOW`.
     Record,
     /// May not be executed twice.
     Issue,
@@ -25,28 +26,28 @@
     }
 }
 
-/// The window of idempotency keys: 4 s.
+/// The validity of idempotency keys: 4 s.
 pub const KEY_WINDOW: u64 = 40_000;
 
-/// An attempt that came whole to a host.
+/// An attempt that a host received completely.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// When.
+    /// When it was received.
     pub at: u64,
     /// The host's group.
     pub group: usize,
-    /// The time that the gateway passed on, in milliseconds.
+    /// The timeout that the gateway passed on, in milliseconds.
     pub timeout_ms: u64,
-    /// The host answered that it did not run it.
+    /// Whether the host answered that it did not run the attempt.
     pub not_run: bool,
 }
 
-/// Why a call has no answer, where that is not the gateway's fault.
+/// The reason why a call may be without an answer through no fault of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Excuse {
-    /// Its gateway was killed while it was owed.
+    /// The gateway was killed before it answered.
     Killed,
-    /// It crossed the gateway's close of its connection.
+    /// The call crossed the gateway's close of the connection.
     CrossedClose,
 }
 
@@ -59,44 +60,45 @@
     pub class: Class,
     /// When its last byte was written.
     pub sent_at: u64,
-    /// How long its client waits.
+    /// How long the client waits.
     pub patience: u64,
-    /// When its client cancelled it or closed its connection.
-    pub left_at: Option<u64>,
-    /// Its answers: when, and the word.
+    /// When the client cancelled the call or closed the connection.
+    pub abandoned_at: Option<u64>,
+    /// Its answers: the time and the outcome word.
     pub answers: Vec<(u64, String)>,
     /// Its attempts.
     pub attempts: Vec<Attempt>,
-    /// Why it may have no answer.
+    /// The reason why it may have no answer.
     pub excuse: Option<Excuse>,
-    /// What its gateway was doing, for reports.
+    /// What the gateway was doing at the time, for reports.
     pub note: String,
 }
 
-/// A load request that came whole to a host.
+/// A load request that a host received completely.
 #[derive(Clone, Debug)]
 pub struct LoadRequest {
     /// The gateway that sent it.
     pub gateway: usize,
     /// The host's group.
     pub group: usize,
-    /// When.
+    /// When it was received.
     pub at: u64,
 }
 
-/// Everything that was seen.
+/// Everything that was observed.
 #[derive(Default)]
 pub struct Record {
-    /// Calls; a call's trace is its index.
+    /// All calls; a call's trace on the wire is its index plus one.
     pub calls: Vec<Call>,
     /// Load requests, by time.
     pub load_requests: Vec<LoadRequest>,
-    /// By group: spans in which it takes no work, from when that counts as told until it comes back.
+    /// By group: the spans in which it accepts no work, from when its drain counts as known to the gateways
+    /// until it comes back.
     pub drained: Vec<Vec<(u64, u64)>>,
-    /// Gateways that ended by themselves without being told to, with what they said.
+    /// Gateways that ended without being told to stop or with a failure status, with their last log lines.
     pub crashes: Vec<String>,
-    /// Violations that gateways counted themselves.
+    /// Violations that the gateways counted and logged.
     pub violations: Vec<String>,
-    /// When the soak itself was late, and by how much.
+    /// When the soak process itself was delayed, and by how much.
     pub own_lag: Vec<(u64, u64)>,
 }
--- a/crates/tidewall-soak/src/settings.rs
+++ b/crates/tidewall-soak/src/settings.rs
@@ -1,14 +1,14 @@
-//! The configuration that a gateway of the soak is started with.
+//! The configuration of the gateways in the soak.
 use crate::plan::{DrainAnswers, Plan};
 use std::net::SocketAddr;
 
-/// The configuration file's text.
+/// The text of a gateway's configuration file; `endpoint_list` is its initial endpoint list.
 pub fn config(
     gateway: usize,
     plan: &Plan,
     listen: SocketAddr,
-    board: SocketAddr,
-    list: &str,
+    discovery_server: SocketAddr,
+    endpoint_list: &str,
 ) -> String {
     let deadline = plan.patience_ms.end;
     let objective = deadline / 3;
@@ -28,8 +28,8 @@
     .join(",");
     let gateways = plan.gateways;
     format!(
-        r#"{{"name":"n{gateway}","listen":"{listen}","seed":"{seed:x}","limits":{{"memory_mb":64,"sockets":512}},"board":"{board}",
- "known":{{"rev":1,"notices":[{list}]}},
+        r#"{{"name":"n{gateway}","listen":"{listen}","seed":"{seed:x}","limits":{{"memory_mb":64,"sockets":512}},"board":"{discovery_server}",
+ "known":{{"rev":1,"notices":[{endpoint_list}]}},
  "settings":{{"me":{gateway},"siblings":{gateways},"tick-ms":1.0,"zones":["za","zb"],"kinds":["k"],"discovery":"pushed",
  "allowed":{{"connect-timeout-ms":250.0,"keepalive-ms":30000.0,"max-attempts":3,"most-held":1000,"streams-per-conn":32,
   "cancel":true,"may-duplicate":true,"retry-after":true,"max-retry-after-ms":500.0,"probes":{probes}}},
--- a/crates/tidewall-soak/src/world/clients.rs
+++ b/crates/tidewall-soak/src/world/clients.rs
@@ -1,29 +1,30 @@
-//! The clients: connections, calls, cancellations, and what becomes of calls whose connection ends.
-use super::{Client, Due, Owner, World, CROSSING, MAX_OPEN, RECONNECT, TICK};
+//! The clients: connections, calls, cancellations, and the outcome of calls whose connection ends.
+use super::{Action, Client, ConnectionRole, Harness, CLOSE_CROSSING, MAX_OPEN, RECONNECT, TICK};
 use crate::plan::SECOND;
 use crate::record::{Call, Class, Excuse};
 use crate::wire;
 use rand::Rng;
 use tidewall_net::{Conn, Net};
 
-impl World {
+impl Harness {
     pub(super) fn send_calls(&mut self) {
         let now = self.now();
         for gateway in 0..self.gateways.len() {
             while self.next_call[gateway] <= now {
                 let mean = SECOND / self.plan.rate;
                 let from = self.next_call[gateway].max(now.saturating_sub(SECOND));
-                self.next_call[gateway] = from + self.random.random_range(1..2 * mean);
+                self.next_call[gateway] = from + self.rng.random_range(1..2 * mean);
                 self.send_call(gateway);
             }
             for slot in 0..self.plan.connections {
                 let client = &self.clients[gateway][slot];
-                let told_long_ago = self.gateways[gateway]
+                let is_stopping = self.gateways[gateway]
                     .stopping_at
                     .is_some_and(|at| now > at + 3_000);
-                if client.conn.is_none() && client.retry_at <= now && !told_long_ago {
+                if client.conn.is_none() && client.retry_at <= now && !is_stopping {
                     let conn = self.net.connect(self.gateways[gateway].address, SECOND);
-                    self.owners.insert(conn, Owner::Client { gateway, slot });
+                    self.connection_roles
+                        .insert(conn, ConnectionRole::Client { gateway, slot });
                     self.clients[gateway][slot].conn = Some(conn);
                 }
             }
@@ -33,7 +34,7 @@
     pub(super) fn send_call(&mut self, gateway: usize) {
         let usable = |client: &Client| client.ready && client.open.len() < MAX_OPEN;
         let connections = self.plan.connections;
-        let first = self.random.random_range(0..connections);
+        let first = self.rng.random_range(0..connections);
         let slots = (0..connections).map(|offset| (first + offset) % connections);
         let Some(slot) = slots
             .into_iter()
@@ -41,10 +42,10 @@
         else {
             return;
         };
-        let class = Class::ALL[self.random.random_range(0..3)];
-        let patience_ms = self.random.random_range(self.plan.patience_ms.clone());
-        // The square of an even draw: some are called far more often than others.
-        let drawn: f64 = self.random.random();
+        let class = Class::ALL[self.rng.random_range(0..3)];
+        let patience_ms = self.rng.random_range(self.plan.patience_ms.clone());
+        // The square of a uniform draw: some functions are called far more often than others.
+        let drawn: f64 = self.rng.random();
         let function = (drawn * drawn * self.plan.functions as f64) as u64 + 1;
         let trace = self.record.calls.len();
         let client = &mut self.clients[gateway][slot];
@@ -64,38 +65,40 @@
             class,
             sent_at,
             patience,
-            left_at: None,
+            abandoned_at: None,
             answers: Vec::new(),
             attempts: Vec::new(),
             excuse: None,
             note,
         });
-        let leaves_early = self.random.random_ratio(1, 8);
-        let leaves_at = if leaves_early {
-            sent_at + self.random.random_range(0..patience)
+        let abandons_early = self.rng.random_ratio(1, 8);
+        let abandons_at = if abandons_early {
+            sent_at + self.rng.random_range(0..patience)
         } else {
             sent_at + patience + 5_010
         };
-        self.later(leaves_at, Due::ClientLeaves(trace, conn, tag));
+        self.schedule(abandons_at, Action::AbandonCall(trace, conn, tag));
     }
 
-    /// The client cancels its call, if it is still open; one in eight closes its connection instead.
-    pub(super) fn client_leaves(&mut self, trace: usize, conn: Conn, tag: u64) {
+    /// The client cancels its call if it is still open; in one of eight cases it closes its connection
+    /// instead.
+    pub(super) fn abandon_call(&mut self, trace: usize, conn: Conn, tag: u64) {
         let now = self.now();
-        let Some(Owner::Client { gateway, slot }) = self.owners.get(&conn) else {
+        let Some(ConnectionRole::Client { gateway, slot }) = self.connection_roles.get(&conn)
+        else {
             return;
         };
         let (gateway, slot) = (*gateway, *slot);
         if self.clients[gateway][slot].open.remove(&tag).is_none() {
             return;
         }
-        self.record.calls[trace].left_at = Some(now);
-        if self.random.random_ratio(1, 8) {
+        self.record.calls[trace].abandoned_at = Some(now);
+        if self.rng.random_ratio(1, 8) {
             let open = std::mem::take(&mut self.clients[gateway][slot].open);
             for trace in open.into_values() {
-                self.record.calls[trace].left_at = Some(now);
+                self.record.calls[trace].abandoned_at = Some(now);
             }
-            self.owners.remove(&conn);
+            self.connection_roles.remove(&conn);
             self.net.close(conn);
             self.clients[gateway][slot] = Client {
                 retry_at: now + TICK,
@@ -106,12 +109,12 @@
         }
     }
 
-    pub(super) fn answered(&mut self, gateway: usize, slot: usize, bytes: &[u8]) -> usize {
+    pub(super) fn client_received(&mut self, gateway: usize, slot: usize, bytes: &[u8]) -> usize {
         let mut used = 0;
-        while let Some((tag, word, body, length)) = wire::answer(&bytes[used..]) {
+        while let Some((tag, word, body, length)) = wire::client_answer(&bytes[used..]) {
             used += length;
             let now = self.now();
-            // One that the client has left may still be answered: it crossed.
+            // An answer to a call that the client has abandoned is ignored: it crossed the cancellation.
             if let Some(trace) = self.clients[gateway][slot].open.remove(&tag) {
                 let is_own = word != "OK" || body == format!("{:016x}", trace + 1);
                 let word = if is_own {
@@ -133,7 +136,7 @@
             let call = &mut self.record.calls[trace];
             if was_killed {
                 call.excuse = Some(Excuse::Killed);
-            } else if now <= call.sent_at + CROSSING {
+            } else if now <= call.sent_at + CLOSE_CROSSING {
                 call.excuse = Some(Excuse::CrossedClose);
             } else {
                 call.note.push_str(&format!(
--- a/crates/tidewall-soak/src/world/gateways.rs
+++ b/crates/tidewall-soak/src/world/gateways.rs
@@ -1,24 +1,24 @@
-//! The gateways' lives: configuration, start, stop, and what they say when they end.
-use super::{Due, World, KILL_AFTER, MAX_DEADLINE};
+//! The lifecycle of the gateways: configuration, start, stop, and what they log when they end.
+use super::{Action, Harness, KILL_AFTER, MAX_DEADLINE};
 use crate::plan::SECOND;
 use crate::wire;
 
-impl World {
+impl Harness {
     pub(super) fn start_gateway(&mut self, gateway: usize) {
-        let list = wire::notice(1, &self.listed(gateway), true);
-        self.boards[gateway].notices = vec![(1, list.clone())];
+        let list = wire::notice(1, &self.listed_hosts(gateway), true);
+        self.discovery_servers[gateway].notices = vec![(1, list.clone())];
         self.configure(gateway, &list);
         let clock = self.clock_file.clone();
         self.gateways[gateway].start(&self.plan, gateway, &clock);
     }
 
     pub(super) fn configure(&mut self, gateway: usize, list: &str) {
-        let (own, board) = (&self.gateways[gateway], &self.boards[gateway]);
+        let (own, discovery_server) = (&self.gateways[gateway], &self.discovery_servers[gateway]);
         let text = crate::settings::config(
             gateway,
             &self.plan,
             own.address,
-            self.board_addresses[&(gateway, board.which)],
+            self.discovery_addresses[&(gateway, discovery_server.server_index)],
             list,
         );
         own.configure(&text);
@@ -27,21 +27,21 @@
     pub(super) fn terminate(&mut self, gateway: usize) {
         let now = self.now();
         let own = &mut self.gateways[gateway];
-        if !own.takes_signals() {
-            return self.later(now + SECOND, Due::Terminate(gateway));
+        if !own.accepts_signals() {
+            return self.schedule(now + SECOND, Action::Terminate(gateway));
         }
-        if own.stopping_at.is_none() && own.check().0 {
+        if own.stopping_at.is_none() && own.poll_exit().0 {
             own.stopping_at = Some(now);
             own.signal(libc::SIGCONT);
             own.signal(libc::SIGTERM);
             let kill_at = now + self.plan.longest_deadline().min(MAX_DEADLINE) + KILL_AFTER;
-            self.later(kill_at, Due::KillStopping(gateway, now));
+            self.schedule(kill_at, Action::KillStopping(gateway, now));
         }
     }
 
     pub(super) fn check_gateways(&mut self) {
         for gateway in 0..self.gateways.len() {
-            let (runs, ended) = self.gateways[gateway].check();
+            let (runs, ended) = self.gateways[gateway].poll_exit();
             if let Some(status) = ended {
                 self.gateway_ended(gateway, &status);
             }
@@ -54,7 +54,7 @@
     pub(super) fn gateway_ended(&mut self, gateway: usize, status: &str) {
         let stopping = self.gateways[gateway].stopping_at.is_some();
         if !stopping || !status.contains("exit status: 0") {
-            let lines = self.gateways[gateway].logged("");
+            let lines = self.gateways[gateway].log_lines("");
             let last = lines
                 .iter()
                 .rev()
@@ -69,12 +69,13 @@
         self.collect_violations(gateway);
     }
 
-    /// What a gateway counted itself, as it says when it ends. A step of over 100 ms may be the machine's.
+    /// Collects the violations that a gateway counted and logged when it ended. Only these three kinds are
+    /// faults of the gateway: a step of over 100 ms, for instance, may be due to the machine.
     pub(super) fn collect_violations(&mut self, gateway: usize) {
-        let ends = self.gateways[gateway].logged("draining finished");
-        let new = self.ends_seen[gateway].min(ends.len());
-        self.ends_seen[gateway] = ends.len();
-        for line in &ends[new..] {
+        let shutdown_lines = self.gateways[gateway].log_lines("draining finished");
+        let new = self.shutdown_lines_seen[gateway].min(shutdown_lines.len());
+        self.shutdown_lines_seen[gateway] = shutdown_lines.len();
+        for line in &shutdown_lines[new..] {
             for kind in ["LateResponse", "AttemptByOldInput", "EndedWithOpenRequests"] {
                 if line.contains(&format!("violation {kind}")) {
                     self.record.violations.push(format!("n{gateway}: {line}"));
--- a/crates/tidewall-soak/src/world/hosts.rs
+++ b/crates/tidewall-soak/src/world/hosts.rs
@@ -1,12 +1,12 @@
-//! The hosts: what they read and what they answer.
-use super::{Due, World};
+//! The hosts: the messages that they read and their answers.
+use super::{Action, Harness};
 use crate::plan::DrainAnswers;
 use crate::record::{Attempt, LoadRequest};
-use crate::wire::{self, Ask, HostLine};
+use crate::wire::{self, HostLine, Query};
 use rand::Rng;
 use tidewall_net::Conn;
 
-impl World {
+impl Harness {
     pub(super) fn host_received(
         &mut self,
         conn: Conn,
@@ -18,12 +18,14 @@
             used += length;
             let now = self.now();
             match line {
-                HostLine::Go(trace, timeout_ms) => self.attempted(conn, group, trace, timeout_ms),
-                HostLine::Halt(trace) => {
-                    self.due.retain(|_, due| !matches!(due, Due::HostAnswer(c, t, _) if *c == conn && *t == trace));
+                HostLine::Attempt(trace, timeout_ms) => {
+                    self.attempt_received(conn, group, trace, timeout_ms)
                 }
-                HostLine::Ask(tag, ask) => {
-                    if ask == Ask::Load {
+                HostLine::Cancel(trace) => {
+                    self.scheduled.retain(|_, action| !matches!(action, Action::HostAnswer(c, t, _) if *c == conn && *t == trace));
+                }
+                HostLine::Query(tag, query) => {
+                    if query == Query::Load {
                         self.record.load_requests.push(LoadRequest {
                             gateway,
                             group,
@@ -31,8 +33,8 @@
                         });
                     }
                     if now >= self.groups[group].hangs_until {
-                        let text = wire::host_answer(&tag, ask, self.denies(group, ask));
-                        self.later(now + 100, Due::HostAnswer(conn, u64::MAX, text));
+                        let text = wire::host_answer(&tag, query, self.denies(group, query));
+                        self.schedule(now + 100, Action::HostAnswer(conn, u64::MAX, text));
                     }
                 }
                 HostLine::Other => {}
@@ -41,20 +43,26 @@
         used
     }
 
-    /// Whether a host of the group says that it takes no work.
-    fn denies(&self, group: usize, ask: Ask) -> bool {
-        let is_told_by = match self.plan.drain_answers {
-            DrainAnswers::Unhealthy => Ask::Probe,
-            DrainAnswers::QueryRefused | DrainAnswers::QueryRefusedOnly => Ask::Count,
+    /// Whether a host of the group answers this query with a denial because it drains.
+    fn denies(&self, group: usize, query: Query) -> bool {
+        let denied_query = match self.plan.drain_answers {
+            DrainAnswers::Unhealthy => Query::Probe,
+            DrainAnswers::QueryRefused | DrainAnswers::QueryRefusedOnly => Query::Count,
         };
-        self.groups[group].state == "draining" && (ask == Ask::Load || ask == is_told_by)
+        self.groups[group].state == "draining" && (query == Query::Load || query == denied_query)
     }
 
-    pub(super) fn attempted(&mut self, conn: Conn, group: usize, trace: u64, timeout_ms: u64) {
+    pub(super) fn attempt_received(
+        &mut self,
+        conn: Conn,
+        group: usize,
+        trace: u64,
+        timeout_ms: u64,
+    ) {
         let now = self.now();
-        let chance = self.random.random_range(0..100);
+        let outcome_draw = self.rng.random_range(0..100);
         let hangs = now < self.groups[group].hangs_until;
-        let word = match chance {
+        let word = match outcome_draw {
             _ if !hangs && self.groups[group].state == "draining" => Some("refused"),
             0..3 if !hangs => Some("refused"),
             3..6 if !hangs => Some("nothing"),
@@ -76,7 +84,7 @@
             || wire::host_ok(trace),
             |word| wire::host_not_run(trace, word),
         );
-        let delay = self.random.random_range(20..400);
-        self.later(now + delay, Due::HostAnswer(conn, trace, text));
+        let delay = self.rng.random_range(20..400);
+        self.schedule(now + delay, Action::HostAnswer(conn, trace, text));
     }
 }
--- a/crates/tidewall-soak/src/world/mod.rs
+++ b/crates/tidewall-soak/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! Everything that the gateways talk to, on one event loop: hosts, boards and clients, and the faults of the plan.
+//! All peers of the gateways on one event loop: hosts, discovery servers and clients, and the faults of the
+//! plan. Times are in tenths of a millisecond.
 mod boards;
 mod clients;
 mod faults;
@@ -17,44 +18,45 @@
 use tidewall_net::mio::Mio;
 use tidewall_net::{App, CloseReason, Conn, Listener, Net};
 
-/// Everything that is due is looked at so often: 5 ms.
+/// How often scheduled actions are run: every 5 ms.
 const TICK: u64 = 50;
-/// The soak's own delay is noted from 10 ms on.
-const NOTED_LAG: u64 = 100;
-/// Open calls on each client connection.
+/// Delays of the soak process are recorded if they exceed 10 ms.
+const MIN_RECORDED_LAG: u64 = 100;
+/// The largest number of open calls on a client connection.
 const MAX_OPEN: usize = 30;
-/// A client connects again after this.
+/// How long a client waits before it connects again after the gateway closed its connection.
 const RECONNECT: u64 = 2_000;
-/// What crosses a close within 50 ms is sent once more, so it is no loss.
-const CROSSING: u64 = 500;
-/// What a board has to tell counts as told so long after its trouble began: 7 s where it is silent or drops what comes, 2 s after
-/// connections broke once, 4 s after a reload.
-const TOLD_IN_OUTAGE: u64 = 70_000;
-const TOLD_AFTER_RESET: u64 = 20_000;
-const TOLD_AFTER_RELOAD: u64 = 40_000;
-/// After an outage a gateway asks again within this.
-const ASKS_AGAIN: u64 = 10_000;
-/// An old board closes its connections so long after SIGHUP.
-const OLD_BOARD_CLOSES: u64 = 15_000;
-/// SIGKILL comes so long after SIGTERM, and the longest deadline of at most 3 s.
+/// A call that was sent at most 50 ms before the gateway closed the connection may have crossed the close.
+/// Such a call is sent once more, so it does not count as lost.
+const CLOSE_CROSSING: u64 = 500;
+/// How long after a discovery server's trouble began its changes count as known to the gateways: 7 s if it is
+/// silent or resets all connections, 2 s after connections were reset once, 4 s after a reload.
+const KNOWN_IN_OUTAGE: u64 = 70_000;
+const KNOWN_AFTER_RESET: u64 = 20_000;
+const KNOWN_AFTER_RELOAD: u64 = 40_000;
+/// A gateway polls again within this time after an outage.
+const POLL_AGAIN_WITHIN: u64 = 10_000;
+/// How long after SIGHUP the old discovery server closes its connections.
+const OLD_SERVER_CLOSES: u64 = 15_000;
+/// SIGKILL follows SIGTERM after the longest deadline, of which at most 3 s count, and this time.
 const KILL_AFTER: u64 = 7_000;
 const MAX_DEADLINE: u64 = 30_000;
-/// What a listener is.
+/// What a listener serves.
 #[derive(Clone, Copy)]
-enum Place {
+enum ListenerRole {
     Host { group: usize, gateway: usize },
-    Board { gateway: usize, which: usize },
+    DiscoveryServer { gateway: usize, server_index: usize },
 }
 
-/// What a connection is.
-enum Owner {
+/// What a connection is used for.
+enum ConnectionRole {
     Host {
         group: usize,
         gateway: usize,
     },
-    Board {
+    DiscoveryServer {
         gateway: usize,
-        which: usize,
+        server_index: usize,
         poll: Option<(u64, u64)>,
     },
     Client {
@@ -81,37 +83,37 @@
     hangs_until: u64,
 }
 
-/// The board of one gateway: numbered anew with each start of it.
+/// The state of the discovery server of one gateway; its revisions restart with each start of the gateway.
 #[derive(Default)]
-struct Board {
+struct Discovery {
     notices: Vec<(u64, String)>,
-    which: usize,
+    server_index: usize,
 }
 
-/// Something due later.
-enum Due {
+/// An action scheduled for later.
+enum Action {
     HostAnswer(Conn, u64, String),
-    ClientLeaves(usize, Conn, u64),
-    GroupGone(usize),
-    /// The group leaves, and comes back after so long.
-    GroupLeaves(usize, u64),
-    GroupReturns(usize),
+    AbandonCall(usize, Conn, u64),
+    EndGroup(usize),
+    /// The group is removed, and comes back after this time.
+    RemoveGroup(usize, u64),
+    RestoreGroup(usize),
     Reload(usize),
     Terminate(usize),
     Signal(usize, i32),
-    BoardAnswer(Conn, String),
+    DiscoveryAnswer(Conn, String),
     Continue(usize),
-    /// The gateway, and when it was told to stop.
+    /// The gateway, and when it received SIGTERM.
     KillStopping(usize, u64),
-    CloseOldBoard(usize, usize),
+    CloseOldServer(usize, usize),
 }
 
-/// The listeners of hosts and boards, at an address for each gateway, and the addresses by what is there.
+/// The listeners of hosts and discovery servers, separate for each gateway, and their addresses.
 #[derive(Default)]
 struct Listeners {
-    places: HashMap<usize, Place>,
+    listener_roles: HashMap<usize, ListenerRole>,
     addresses: HashMap<(usize, usize), SocketAddr>,
-    board_addresses: HashMap<(usize, usize), SocketAddr>,
+    discovery_addresses: HashMap<(usize, usize), SocketAddr>,
 }
 
 impl Listeners {
@@ -125,64 +127,71 @@
         for gateway in 0..gateways {
             for group in 0..groups {
                 let (listener, at) = net.listen(own)?;
-                all.places
-                    .insert(listener.0, Place::Host { group, gateway });
+                all.listener_roles
+                    .insert(listener.0, ListenerRole::Host { group, gateway });
                 all.addresses.insert((group, gateway), at);
             }
-            for which in 0..2 {
+            for server_index in 0..2 {
                 let (listener, at) = net.listen(own)?;
-                all.places
-                    .insert(listener.0, Place::Board { gateway, which });
-                all.board_addresses.insert((gateway, which), at);
+                all.listener_roles.insert(
+                    listener.0,
+                    ListenerRole::DiscoveryServer {
+                        gateway,
+                        server_index,
+                    },
+                );
+                all.discovery_addresses.insert((gateway, server_index), at);
             }
         }
         Ok(all)
     }
 }
 
-/// An address apart from those of other soaks that run at the same time: a port that is free while a gateway restarts is its own.
-fn own_address(seed: u64) -> SocketAddr {
+/// A loopback address that no other soak running at the same time uses, so that the port of a restarting
+/// gateway stays free for it.
+fn local_address(seed: u64) -> SocketAddr {
     let process = std::process::id() % 200 + 20;
     SocketAddr::from(([127, process as u8, (seed % 250) as u8 + 1, 1], 0))
 }
 
-/// The world of one seed.
-pub struct World {
+/// The harness of one seed: the gateways and all their peers.
+pub struct Harness {
     net: Mio,
     plan: Plan,
-    random: ChaCha8Rng,
-    /// What was seen.
+    rng: ChaCha8Rng,
+    /// What clients and hosts observed.
     pub record: Record,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    places: HashMap<usize, Place>,
+    listener_roles: HashMap<usize, ListenerRole>,
     addresses: HashMap<(usize, usize), SocketAddr>,
-    board_addresses: HashMap<(usize, usize), SocketAddr>,
-    owners: HashMap<Conn, Owner>,
+    discovery_addresses: HashMap<(usize, usize), SocketAddr>,
+    connection_roles: HashMap<Conn, ConnectionRole>,
     clients: Vec<Vec<Client>>,
     groups: Vec<Group>,
-    boards: Vec<Board>,
-    board_silent_until: u64,
-    board_drops_until: u64,
-    /// How late the board's answers come, and until when that lasts.
-    board_slow: (u64, u64),
-    /// Troubles of boards: until when changes fall into them, and by when those count as told.
-    board_troubles: Vec<(u64, u64)>,
-    due: BTreeMap<(u64, u64), Due>,
-    sequence: u64,
+    discovery_servers: Vec<Discovery>,
+    discovery_silent_until: u64,
+    discovery_drops_until: u64,
+    /// The delay of the discovery servers' answers, and until when it applies.
+    discovery_slow: (u64, u64),
+    /// Troubles of discovery servers: until when a change is affected, and by when it counts as known to the
+    /// gateways.
+    discovery_troubles: Vec<(u64, u64)>,
+    scheduled: BTreeMap<(u64, u64), Action>,
+    last_sequence: u64,
     next_fault: usize,
     next_call: Vec<u64>,
     next_tick: u64,
     started_at: u64,
     clock_file: PathBuf,
-    /// By gateway: how many ends of its processes were looked at.
-    ends_seen: Vec<usize>,
+    /// By gateway: how many shutdown lines of its log were checked.
+    shutdown_lines_seen: Vec<usize>,
     stopping: bool,
 }
 
-impl World {
-    /// Sockets, files and processes for a plan; the gateways start at once.
-    pub fn new(plan: Plan, folder: &Path) -> std::io::Result<World> {
+impl Harness {
+    /// Opens the sockets and files for a plan, and starts the gateways.
+    pub fn new(plan: Plan, folder: &Path) -> std::io::Result<Harness> {
         let mut net = Mio::new()?;
         let clock_file = folder.join("clock");
         std::fs::write(&clock_file, 0i64.to_ne_bytes())?;
@@ -191,11 +200,11 @@
             .iter()
             .filter(|(_, fault)| *fault == Fault::Release)
             .count();
-        let own = own_address(plan.seed);
+        let own = local_address(plan.seed);
         let Listeners {
-            places,
+            listener_roles,
             addresses,
-            board_addresses,
+            discovery_addresses,
         } = Listeners::open(&mut net, own, plan.gateways, LISTED_GROUPS + releases)?;
         let mut gateways = Vec::new();
         for number in 0..plan.gateways {
@@ -208,44 +217,44 @@
             started_ms: 0,
             hangs_until: 0,
         });
-        let mut world = World {
-            random: ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5eed),
+        let mut harness = Harness {
+            rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5eed),
             record: Record {
                 drained: vec![Vec::new(); LISTED_GROUPS + releases],
                 ..Record::default()
             },
             gateways,
-            places,
+            listener_roles,
             addresses,
-            board_addresses,
-            owners: HashMap::new(),
+            discovery_addresses,
+            connection_roles: HashMap::new(),
             clients: (0..plan.gateways)
                 .map(|_| (0..plan.connections).map(|_| Client::default()).collect())
                 .collect(),
             groups: groups.collect(),
-            boards: (0..plan.gateways).map(|_| Board::default()).collect(),
-            board_silent_until: 0,
-            board_drops_until: 0,
-            board_slow: (0, 0),
-            board_troubles: Vec::new(),
-            due: BTreeMap::new(),
-            sequence: 0,
+            discovery_servers: (0..plan.gateways).map(|_| Discovery::default()).collect(),
+            discovery_silent_until: 0,
+            discovery_drops_until: 0,
+            discovery_slow: (0, 0),
+            discovery_troubles: Vec::new(),
+            scheduled: BTreeMap::new(),
+            last_sequence: 0,
             next_fault: 0,
             next_call: vec![0; plan.gateways],
             next_tick: now + TICK,
             started_at: now,
             clock_file,
-            ends_seen: vec![0; plan.gateways],
+            shutdown_lines_seen: vec![0; plan.gateways],
             stopping: false,
             net,
             plan,
         };
-        (0..world.plan.gateways).for_each(|gateway| world.start_gateway(gateway));
-        world.net.set_timer(now + TICK, 0);
-        Ok(world)
+        (0..harness.plan.gateways).for_each(|gateway| harness.start_gateway(gateway));
+        harness.net.set_timer(now + TICK, 0);
+        Ok(harness)
     }
 
-    /// The time by the soak's clock.
+    /// The current time by the soak's clock.
     pub fn now(&self) -> u64 {
         self.net.current_time()
     }
@@ -255,7 +264,7 @@
         self.net.now() - self.started_at
     }
 
-    /// No further calls and faults; all gateways are told to stop.
+    /// Ends calls and faults, and sends SIGTERM to all gateways.
     pub fn stop(&mut self) {
         self.stopping = true;
         for gateway in 0..self.gateways.len() {
@@ -265,7 +274,9 @@
 
     /// Whether all gateways have ended.
     pub fn has_ended(&mut self) -> bool {
-        self.gateways.iter_mut().all(|gateway| !gateway.check().0)
+        self.gateways
+            .iter_mut()
+            .all(|gateway| !gateway.poll_exit().0)
     }
 
     /// Makes the event loop return.
@@ -278,26 +289,26 @@
         self.net.go_on();
     }
 
-    fn later(&mut self, at: u64, due: Due) {
-        self.sequence += 1;
-        self.due.insert((at, self.sequence), due);
+    fn schedule(&mut self, at: u64, action: Action) {
+        self.last_sequence += 1;
+        self.scheduled.insert((at, self.last_sequence), action);
     }
 
     fn tick(&mut self) {
         let now = self.now();
         let lag = now.saturating_sub(self.next_tick);
-        if lag > NOTED_LAG {
+        if lag > MIN_RECORDED_LAG {
             self.record.own_lag.push((now, lag));
         }
         self.next_tick = now + TICK;
         self.net.set_timer(now + TICK, 0);
         while self
-            .due
+            .scheduled
             .first_key_value()
             .is_some_and(|((at, _), _)| *at <= now)
         {
-            if let Some((_, due)) = self.due.pop_first() {
-                self.carry_out(due);
+            if let Some((_, action)) = self.scheduled.pop_first() {
+                self.run_action(action);
             }
         }
         self.answer_polls();
@@ -313,13 +324,13 @@
             {
                 let fault = self.plan.faults[self.next_fault].1.clone();
                 self.next_fault += 1;
-                self.inject(&fault);
+                self.inject_fault(&fault);
             }
         }
     }
 }
 
-impl App for World {
+impl App for Harness {
     type Net = Mio;
 
     fn net(&mut self) -> &mut Mio {
@@ -327,33 +338,39 @@
     }
 
     fn accepted(&mut self, listener: Listener, conn: Conn, _: SocketAddr) {
-        match self.places.get(&listener.0) {
-            Some(Place::Host { group, gateway }) if self.groups[*group].state != "removed" => {
-                let owner = Owner::Host {
+        match self.listener_roles.get(&listener.0) {
+            Some(ListenerRole::Host { group, gateway })
+                if self.groups[*group].state != "removed" =>
+            {
+                let role = ConnectionRole::Host {
                     group: *group,
                     gateway: *gateway,
                 };
-                self.owners.insert(conn, owner);
+                self.connection_roles.insert(conn, role);
             }
-            Some(Place::Board { gateway, which })
-                if *which == self.boards[*gateway].which
-                    && self.net.now() >= self.board_drops_until =>
+            Some(ListenerRole::DiscoveryServer {
+                gateway,
+                server_index,
+            }) if *server_index == self.discovery_servers[*gateway].server_index
+                && self.net.now() >= self.discovery_drops_until =>
             {
-                let owner = Owner::Board {
+                let role = ConnectionRole::DiscoveryServer {
                     gateway: *gateway,
-                    which: *which,
+                    server_index: *server_index,
                     poll: None,
                 };
-                self.owners.insert(conn, owner);
+                self.connection_roles.insert(conn, role);
             }
             _ => self.net.reset(conn),
         }
     }
 
     fn connected(&mut self, conn: Conn) {
-        match self.owners.get(&conn) {
-            Some(Owner::Client { gateway, slot }) => self.clients[*gateway][*slot].ready = true,
-            Some(Owner::Garbage) => {
+        match self.connection_roles.get(&conn) {
+            Some(ConnectionRole::Client { gateway, slot }) => {
+                self.clients[*gateway][*slot].ready = true
+            }
+            Some(ConnectionRole::Garbage) => {
                 self.net
                     .write(conn, b"*3\r\n$4\r\nCALL\r\n$-7\r\n\xff\xfe garbage\r\n");
             }
@@ -363,16 +380,16 @@
 
     fn received(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let now = self.now();
-        match self.owners.get_mut(&conn) {
-            Some(Owner::Host { group, gateway }) => {
-                let place = (*group, *gateway);
-                self.host_received(conn, place, bytes)
+        match self.connection_roles.get_mut(&conn) {
+            Some(ConnectionRole::Host { group, gateway }) => {
+                let host = (*group, *gateway);
+                self.host_received(conn, host, bytes)
             }
-            Some(Owner::Client { gateway, slot }) => {
+            Some(ConnectionRole::Client { gateway, slot }) => {
                 let (gateway, slot) = (*gateway, *slot);
-                self.answered(gateway, slot, bytes)
+                self.client_received(gateway, slot, bytes)
             }
-            Some(Owner::Board { poll, .. }) => {
+            Some(ConnectionRole::DiscoveryServer { poll, .. }) => {
                 let Some((watch, linger_ms, length)) = wire::poll(bytes) else {
                     return 0;
                 };
@@ -387,7 +404,8 @@
     fn writable(&mut self, _: Conn) {}
 
     fn closed(&mut self, conn: Conn, _: CloseReason) {
-        if let Some(Owner::Client { gateway, slot }) = self.owners.remove(&conn) {
+        if let Some(ConnectionRole::Client { gateway, slot }) = self.connection_roles.remove(&conn)
+        {
             self.client_closed(gateway, slot);
         }
     }
