--- a/crates/tidewall-fault-shim/src/lib.rs
+++ b/crates/tidewall-fault-shim/src/lib.rs
@@ -1,5 +1,6 @@
-//! A library that the soak and tests preload into a gateway (LD_PRELOAD). It steps the wall clock and lets system calls fail in
-//! ways that Linux documents. It names each failure on standard error. Nothing of the shipped program uses it.
+//! A library that the soak and other tests preload into a gateway (`LD_PRELOAD`). It shifts the wall clock
+//! and makes system calls fail in ways that Linux documents. It writes each failure to standard error. The
+//! shipped program does not use it.
 //!
 //! | Variable | Meaning |
 //! |---|---|
@@ -11,38 +12,39 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// What the environment asks for.
+/// The configuration from the environment.
 struct Config {
     rate: u64,
-    /// Mapped from the file; none where there is no file.
+    /// The offset in the mapped clock file, in seconds; none without a file.
     clock_offset: Option<&'static AtomicI64>,
 }
 
 static CONFIG: OnceLock<Config> = OnceLock::new();
-static STATE: AtomicU64 = AtomicU64::new(0);
+static RNG_STATE: AtomicU64 = AtomicU64::new(0);
 
-fn variable(name: &CStr) -> Option<&'static CStr> {
-    // SAFETY: the name is terminated, and nobody changes the environment of the process that this is loaded into.
+fn env_value(name: &CStr) -> Option<&'static CStr> {
+    // SAFETY: the name is NUL-terminated, and the gateway that loads this library does not change its
+    // environment.
     let value = unsafe { libc::getenv(name.as_ptr()) };
-    // SAFETY: getenv gives a terminated string or null.
+    // SAFETY: getenv returns a NUL-terminated string or null.
     (!value.is_null()).then(|| unsafe { CStr::from_ptr(value) })
 }
 
-fn number(name: &CStr) -> u64 {
-    let text = variable(name).and_then(|value| value.to_str().ok());
+fn env_number(name: &CStr) -> u64 {
+    let text = env_value(name).and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
 fn map_clock() -> Option<&'static AtomicI64> {
-    let path = variable(c"TIDEWALL_SHIM_CLOCK")?;
-    // SAFETY: the path is terminated; the mapping is never taken back, and a file of 8 bytes holds an i64.
+    let path = env_value(c"TIDEWALL_SHIM_CLOCK")?;
+    // SAFETY: the path is NUL-terminated; the mapping is never removed, and its 8 bytes hold an i64.
     unsafe {
         let file = libc::open(path.as_ptr(), libc::O_RDONLY | libc::O_CLOEXEC);
         if file < 0 {
             return None;
         }
         let (length, flags) = (size_of::<AtomicI64>(), libc::MAP_SHARED);
-        let place = libc::mmap(
+        let mapping = libc::mmap(
             std::ptr::null_mut(),
             length,
             libc::PROT_READ,
@@ -51,43 +53,43 @@
             0,
         );
         libc::close(file);
-        (place != libc::MAP_FAILED).then(|| &*place.cast::<AtomicI64>())
+        (mapping != libc::MAP_FAILED).then(|| &*mapping.cast::<AtomicI64>())
     }
 }
 
 fn config() -> &'static Config {
     CONFIG.get_or_init(|| {
-        STATE.store(number(c"TIDEWALL_SHIM_SEED") | 1, Ordering::Relaxed);
+        RNG_STATE.store(env_number(c"TIDEWALL_SHIM_SEED") | 1, Ordering::Relaxed);
         Config {
-            rate: number(c"TIDEWALL_SHIM_RATE"),
+            rate: env_number(c"TIDEWALL_SHIM_RATE"),
             clock_offset: map_clock(),
         }
     })
 }
 
-/// A drawn number (splitmix64).
+/// Draws a pseudo-random number (splitmix64).
 fn draw() -> u64 {
-    let state = STATE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+    let state = RNG_STATE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
     let x = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// One of these errors where this call is to fail; it is named on the log and set as errno.
-fn fails(call: &str, errors: &[(c_int, &str)]) -> bool {
+/// Decides whether this call fails. If so, it draws one of these errors, logs its name and sets errno to it.
+fn inject_error(call: &str, errors: &[(c_int, &str)]) -> bool {
     let rate = config().rate;
     if draw() % 10_000 >= rate {
         return false;
     }
     let (error, name) = errors[draw() as usize % errors.len()];
     log(&format!("shim: {call} {name}\n"));
-    // SAFETY: errno is this thread's own.
+    // SAFETY: errno belongs to the calling thread.
     unsafe { *libc::__errno_location() = error };
     true
 }
 
-/// Half of the length where this call is to be cut short.
-fn cut(call: &str, length: size_t) -> size_t {
+/// Returns the length for this call: half of `length` if a draw decides that the call is cut short.
+fn shorten(call: &str, length: size_t) -> size_t {
     if length < 2 || draw() % 10_000 >= config().rate {
         return length;
     }
@@ -96,21 +98,21 @@
 }
 
 fn log(line: &str) {
-    // SAFETY: the bytes live as long as the call.
+    // SAFETY: the bytes outlive the call.
     unsafe { libc::write(2, line.as_ptr().cast(), line.len()) };
 }
 
-/// The next function of this name behind this library.
-fn next(name: &CStr) -> *mut c_void {
-    // SAFETY: the name is terminated.
+/// The function of this name in the libraries that are loaded after this one.
+fn next_symbol(name: &CStr) -> *mut c_void {
+    // SAFETY: the name is NUL-terminated.
     unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr().cast::<c_char>()) }
 }
 
 /// The C library's function of this name, looked up once.
-macro_rules! real {
+macro_rules! libc_function {
     ($name:literal, $type:ty) => {{
-        static REAL: OnceLock<usize> = OnceLock::new();
-        let address = *REAL.get_or_init(|| next($name) as usize);
+        static FUNCTION: OnceLock<usize> = OnceLock::new();
+        let address = *FUNCTION.get_or_init(|| next_symbol($name) as usize);
         // SAFETY: the C library's function of this name has this type.
         unsafe { std::mem::transmute::<usize, $type>(address) }
     }};
@@ -123,13 +125,13 @@
 type Recv = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 
-/// clock_gettime(2): the wall clock is off by what the file says.
+/// clock_gettime(2): adds the offset in the clock file to the wall clock.
 ///
 /// # Safety
-/// As of the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int {
-    let result = real!(c"clock_gettime", ClockGettime)(clock, time);
+    let result = libc_function!(c"clock_gettime", ClockGettime)(clock, time);
     if clock == libc::CLOCK_REALTIME && result == 0 {
         let offset = config()
             .clock_offset
@@ -139,10 +141,10 @@
     result
 }
 
-/// accept4(2), which may fail for a moment.
+/// accept4(2), which may fail with a transient error.
 ///
 /// # Safety
-/// As of the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -157,16 +159,16 @@
         (libc::EINTR, "EINTR"),
         (libc::EPROTO, "EPROTO"),
     ];
-    if fails("accept4", &errors) {
+    if inject_error("accept4", &errors) {
         return -1;
     }
-    real!(c"accept4", Accept4)(socket, address, length, flags)
+    libc_function!(c"accept4", Accept4)(socket, address, length, flags)
 }
 
-/// connect(2), which may fail for a moment.
+/// connect(2), which may fail with a transient error.
 ///
 /// # Safety
-/// As of the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
     let errors = [
@@ -174,29 +176,29 @@
         (libc::ENETUNREACH, "ENETUNREACH"),
         (libc::ENOBUFS, "ENOBUFS"),
     ];
-    if fails("connect", &errors) {
+    if inject_error("connect", &errors) {
         return -1;
     }
-    real!(c"connect", Connect)(socket, to, length)
+    libc_function!(c"connect", Connect)(socket, to, length)
 }
 
-/// socket(2), which may fail for a moment.
+/// socket(2), which may fail with a transient error for IPv4 stream sockets.
 ///
 /// # Safety
-/// As of the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let errors = [(libc::ENFILE, "ENFILE"), (libc::ENOBUFS, "ENOBUFS")];
-    if kind & libc::SOCK_STREAM != 0 && domain == libc::AF_INET && fails("socket", &errors) {
+    if kind & libc::SOCK_STREAM != 0 && domain == libc::AF_INET && inject_error("socket", &errors) {
         return -1;
     }
-    real!(c"socket", Socket)(domain, kind, protocol)
+    libc_function!(c"socket", Socket)(domain, kind, protocol)
 }
 
-/// recv(2), which may be broken off by a signal or read less.
+/// recv(2), which may be interrupted by a signal or read at most half of the requested bytes.
 ///
 /// # Safety
-/// As of the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -204,16 +206,16 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if fails("recv", &[(libc::EINTR, "EINTR")]) {
+    if inject_error("recv", &[(libc::EINTR, "EINTR")]) {
         return -1;
     }
-    real!(c"recv", Recv)(socket, buffer, cut("recv", length), flags)
+    libc_function!(c"recv", Recv)(socket, buffer, shorten("recv", length), flags)
 }
 
-/// send(2), which may be broken off by a signal or write less.
+/// send(2), which may be interrupted by a signal or write at most half of the bytes.
 ///
 /// # Safety
-/// As of the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -221,8 +223,8 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if fails("send", &[(libc::EINTR, "EINTR")]) {
+    if inject_error("send", &[(libc::EINTR, "EINTR")]) {
         return -1;
     }
-    real!(c"send", Send)(socket, buffer, cut("send", length), flags)
+    libc_function!(c"send", Send)(socket, buffer, shorten("send", length), flags)
 }
