--- a/crates/tidewall-interop/src/lib.rs
+++ b/crates/tidewall-interop/src/lib.rs
@@ -1,1 +1,1 @@
-//! Holds no code of its own: see `tests/`.
+//! This package contains only the tests in `tests/`.
--- a/crates/tidewall-interop/tests/amqprs.rs
+++ b/crates/tidewall-interop/tests/amqprs.rs
@@ -1,4 +1,5 @@
-//! The published client library `amqprs` against the AMQP door, a gateway and a stand-in fleet on real sockets.
+//! The published client library `amqprs` against the AMQP ingress of a gateway with emulated workers, on real
+//! sockets.
 use amqprs::channel::{
     BasicAckArguments, BasicConsumeArguments, BasicPublishArguments, ConfirmSelectArguments,
     ExchangeDeclareArguments, QueueBindArguments, QueueDeclareArguments, QueueDeleteArguments,
@@ -19,28 +20,32 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::time::timeout;
 
-const SOON: Duration = Duration::from_secs(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
 }
 
-/// A gateway with its door, and two stand-in workers; they end with the test's process.
-fn site() -> SocketAddr {
-    let cheap = Argon2::new(
+/// Starts a gateway with its AMQP ingress, and two emulated workers; they run until the test process ends.
+/// Returns the address of the ingress.
+fn start_gateway() -> SocketAddr {
+    let fast_argon2 = Argon2::new(
         Algorithm::Argon2id,
         Version::V0x13,
         Params::new(8, 1, 1, None).unwrap(),
     );
     let salt = SaltString::encode_b64(b"0123456789abcdef").unwrap();
-    let hash = cheap.hash_password(b"secret", &salt).unwrap().to_string();
-    let (door, roster) = (free(), free());
+    let hash = fast_argon2
+        .hash_password(b"secret", &salt)
+        .unwrap()
+        .to_string();
+    let (amqp_address, discovery_address) = (free_address(), free_address());
     let text = format!(
-        r#"gateway {{ name: "g" address: "{}" amqp_address: "{door}" zone: "z" }}
-        roster {{ address: "{roster}" }}
+        r#"gateway {{ name: "g" address: "{}" amqp_address: "{amqp_address}" zone: "z" }}
+        roster {{ address: "{discovery_address}" }}
         zone: "z"
         kind {{ name: "k" }}
         event_type {{ name: "check" redelivery: REDELIVERABLE }}
@@ -50,10 +55,10 @@
           workers {{ name: "w" count: 2 zone: "z" kind: "k" }}
           programs {{ name: "p" event_type: "check" fetch_ms: 50 start_ms: 10 memory_mb: 10 }}
         }}"#,
-        free()
+        free_address()
     );
     std::thread::spawn(move || {
-        let s = tidewall_config::settings("test", &text).unwrap();
+        let parsed = tidewall_config::settings("test", &text).unwrap();
         let plan = Plan {
             seed: 1,
             seconds: 0.0,
@@ -66,10 +71,10 @@
             task_epochs: true,
             wild_clocks: false,
         };
-        let mut fleet = Fleet::new(Mio::new().unwrap(), &s, None, plan).unwrap();
+        let mut fleet = Fleet::new(Mio::new().unwrap(), &parsed, None, plan).unwrap();
         std::thread::spawn(move || {
-            let s = tidewall_config::settings("test", &text).unwrap();
-            let setup = GatewayLimits {
+            let parsed = tidewall_config::settings("test", &text).unwrap();
+            let gateway_limits = GatewayLimits {
                 max_requests: 1000,
                 connect_timeout: 2_500,
                 streams_per_connection: 32,
@@ -81,34 +86,38 @@
                 load_request_timeout: 80_000,
                 silence_timeout: 10_000,
             };
-            let start = GatewayConfig {
+            let gateway_config = GatewayConfig {
                 name: "g".to_string(),
                 index: 0,
                 seed: 7,
-                settings: tidewall_config::scheduler_settings(&s, 0),
-                discovery: roster,
+                settings: tidewall_config::scheduler_settings(&parsed, 0),
+                discovery: discovery_address,
                 discovery_retry: 1_000,
                 peers: vec![None],
                 peer_listen: None,
-                limits: setup,
+                limits: gateway_limits,
                 failover: None,
             };
-            let mut gateway =
-                Gateway::new(Mio::new().unwrap(), start, Box::new(NoEndpointCache)).unwrap();
+            let mut gateway = Gateway::new(
+                Mio::new().unwrap(),
+                gateway_config,
+                Box::new(NoEndpointCache),
+            )
+            .unwrap();
             gateway
-                .add_ingress(door, Box::new(Amqp::new(0, &s)))
+                .add_ingress(amqp_address, Box::new(Amqp::new(0, &parsed)))
                 .unwrap();
             mio::run(&mut gateway).unwrap();
         });
         mio::run(&mut fleet).unwrap();
     });
     for _ in 0..200 {
-        if std::net::TcpStream::connect(door).is_ok() {
+        if std::net::TcpStream::connect(amqp_address).is_ok() {
             break;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    door
+    amqp_address
 }
 
 async fn connect(at: SocketAddr, password: &str) -> Result<Connection, amqprs::error::Error> {
@@ -121,11 +130,11 @@
     .await
 }
 
-/// Hands each delivery on: tag, correlation-id, type, body.
-struct Hand(UnboundedSender<(u64, String, String, String)>);
+/// Sends each delivery to a channel: tag, correlation-id, type, body.
+struct DeliveryForwarder(UnboundedSender<(u64, String, String, String)>);
 
 #[async_trait::async_trait]
-impl AsyncConsumer for Hand {
+impl AsyncConsumer for DeliveryForwarder {
     async fn consume(
         &mut self,
         _: &amqprs::channel::Channel,
@@ -134,24 +143,24 @@
         body: Vec<u8>,
     ) {
         let text = |t: Option<&String>| t.cloned().unwrap_or_default();
-        let told = (
+        let delivery = (
             d.delivery_tag(),
             text(p.correlation_id()),
             text(p.message_type()),
             String::from_utf8_lossy(&body).into(),
         );
-        let _ = self.0.send(told);
+        let _ = self.0.send(delivery);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_published_client_declares_publishes_consumes_and_closes() {
-    let door = site();
+    let amqp_address = start_gateway();
     assert!(
-        connect(door, "wrong").await.is_err(),
+        connect(amqp_address, "wrong").await.is_err(),
         "a wrong password is refused"
     );
-    let connection = connect(door, "secret").await.unwrap();
+    let connection = connect(amqp_address, "secret").await.unwrap();
     let channel = connection.open_channel(None).await.unwrap();
     channel
         .confirm_select(ConfirmSelectArguments::default())
@@ -172,9 +181,12 @@
         .queue_bind(QueueBindArguments::new(&queue, "t", "stock.#"))
         .await
         .unwrap();
-    let (tell, mut told) = unbounded_channel();
+    let (delivery_sender, mut deliveries) = unbounded_channel();
     channel
-        .basic_consume(Hand(tell), BasicConsumeArguments::new("q", "c"))
+        .basic_consume(
+            DeliveryForwarder(delivery_sender),
+            BasicConsumeArguments::new("q", "c"),
+        )
         .await
         .unwrap();
     for i in 0..3 {
@@ -185,7 +197,10 @@
             .unwrap();
     }
     for i in 0..3 {
-        let (tag, _, _, body) = timeout(SOON, told.recv()).await.unwrap().unwrap();
+        let (tag, _, _, body) = timeout(RECEIVE_TIMEOUT, deliveries.recv())
+            .await
+            .unwrap()
+            .unwrap();
         assert_eq!(body, format!("m{i}"));
         channel
             .basic_ack(BasicAckArguments::new(tag, false))
@@ -193,15 +208,16 @@
             .unwrap();
     }
 
-    // Triggers, answered to a queue of our own. The first may be deferred while the gateway learns its workers.
+    // Triggers with answers to a queue of this test. The first may be deferred until the gateway knows its
+    // workers.
     channel
         .queue_declare(QueueDeclareArguments::new("answers"))
         .await
         .unwrap();
-    let (tell, mut told) = unbounded_channel();
+    let (delivery_sender, mut deliveries) = unbounded_channel();
     channel
         .basic_consume(
-            Hand(tell),
+            DeliveryForwarder(delivery_sender),
             BasicConsumeArguments::new("answers", "a")
                 .auto_ack(true)
                 .finish(),
@@ -216,12 +232,15 @@
             .with_message_id(&format!("id{i}"));
         p.with_expiration("1000");
         let to = BasicPublishArguments::new("tidewall.events", "check.p0");
-        // The stand-ins read the work from the body: five milliseconds.
+        // The emulated workers read the execution time from the body: 50 tenths of a millisecond, thus 5 ms.
         channel
             .basic_publish(p, 50u32.to_be_bytes().to_vec(), to)
             .await
             .unwrap();
-        let (_, correlation, word, _) = timeout(SOON, told.recv()).await.unwrap().unwrap();
+        let (_, correlation, word, _) = timeout(RECEIVE_TIMEOUT, deliveries.recv())
+            .await
+            .unwrap()
+            .unwrap();
         assert_eq!(correlation, i.to_string());
         handled += usize::from(word == "handled");
         if handled == 10 {
@@ -231,7 +250,7 @@
     }
     assert_eq!(handled, 10);
 
-    // Heartbeats keep an idle connection open: three intervals pass.
+    // Heartbeats keep an idle connection open: wait for three heartbeat intervals.
     tokio::time::sleep(Duration::from_millis(3_200)).await;
     assert!(connection.is_open());
     channel
