--- a/crates/tidewall-benchmarks/src/main.rs
+++ b/crates/tidewall-benchmarks/src/main.rs
@@ -1,13 +1,14 @@
-//! Measures one gateway process on loopback: rates, added latency, CPU and memory, each beside a bare forwarder
-//! that copies the same bytes and a client that talks straight to the worker. Run it from the root after
-//! `cargo build --release`:  target/release/tidewall-measure
+//! Measures one gateway process on loopback: rate, added latency, CPU time and memory. Rates, latency and CPU
+//! time are compared with a bare forwarder that copies the same bytes, and with a client that is connected
+//! directly to the worker. Run it from the root after `cargo build --release`:
+//! target/release/tidewall-measure
 mod forward;
 mod pair;
 mod peers;
 mod terminals;
 
 use hdrhistogram::Histogram;
-use peers::{Echo, Load};
+use peers::{EchoWorker, NativeClients};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
@@ -18,16 +19,17 @@
 use tidewall::interface::{Endpoint, EndpointState, Outcome, RequestInfo, SchedulerActions, Time};
 use tidewall_net::mio;
 
-/// Long enough for p99.9 of thousands of events a second, short enough for a coffee.
+/// The duration of one measurement: long enough for p99.9 at thousands of requests per second, short enough
+/// to wait for.
 const SECONDS: u64 = 8;
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("loopback has ports")
 }
 
-/// A process of ours with its CPU and memory as the system counts them.
+/// A child process, with its CPU time and memory as the system counts them.
 struct Process(Child);
 
 impl Process {
@@ -38,13 +40,13 @@
         } else {
             "tidewall"
         });
-        let log = Stdio::from(std::fs::File::create("/dev/null").expect("it is there"));
+        let log = Stdio::from(std::fs::File::create("/dev/null").expect("/dev/null can be opened"));
         Process(
             Command::new(own)
                 .args(args)
                 .stderr(log)
                 .spawn()
-                .expect("it was built"),
+                .expect("the program was built"),
         )
     }
 
@@ -58,11 +60,11 @@
                 .and_then(|f| f.parse::<f64>().ok())
                 .unwrap_or(0.0)
         };
-        // utime and stime, proc(5), in hundredths of a second.
+        // utime and stime of proc(5), in clock ticks of 10 ms.
         (ticks(11) + ticks(12)) / 100.0
     }
 
-    fn memory(&self) -> f64 {
+    fn resident_bytes(&self) -> f64 {
         let statm =
             std::fs::read_to_string(format!("/proc/{}/statm", self.0.id())).unwrap_or_default();
         statm
@@ -81,45 +83,47 @@
     }
 }
 
-fn settings(gateway: SocketAddr, roster: SocketAddr, target: u64) -> String {
+fn settings(gateway: SocketAddr, discovery_address: SocketAddr, target_ms: u64) -> String {
     format!(
-        "gateway {{ name: \"g\" address: \"{gateway}\" zone: \"z\" seed: 7 }}\nroster {{ address: \"{roster}\" }}\n\
-        zone: \"z\"\nkind {{ name: \"k\" }}\nevent_type {{ name: \"t\" target_time_ms: {target} max_age_ms: {target} \
+        "gateway {{ name: \"g\" address: \"{gateway}\" zone: \"z\" seed: 7 }}\nroster {{ address: \"{discovery_address}\" }}\n\
+        zone: \"z\"\nkind {{ name: \"k\" }}\nevent_type {{ name: \"t\" target_time_ms: {target_ms} max_age_ms: {target_ms} \
         redelivery: REDELIVERABLE }}\nlimits {{ most_held: 30000 streams: 1000 }}\n\
         loading {{ miss: false window_ms: 0 orders: false }}\n"
     )
 }
 
-/// An echo worker (and roster of itself, `workers` times) on a thread of its own.
-struct Far {
-    pub roster: SocketAddr,
-    pub worker: SocketAddr,
+/// An echo worker on a thread of its own, and a discovery server that lists it `workers` times.
+struct Backend {
+    pub discovery_address: SocketAddr,
+    pub worker_address: SocketAddr,
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Far {
-    fn start(workers: usize, answers: bool) -> Far {
+impl Backend {
+    fn start(workers: usize, answers: bool) -> Backend {
         let stop = Arc::new(AtomicBool::new(false));
-        let (tell, told) = std::sync::mpsc::channel();
-        let seen = stop.clone();
+        let (sender, addresses) = std::sync::mpsc::channel();
+        let stop_seen = stop.clone();
         let thread = std::thread::spawn(move || {
-            let mut echo = Echo::new(workers, answers, seen).expect("loopback has ports");
-            tell.send((echo.roster, echo.worker))
-                .expect("it is waited for");
-            mio::run(&mut echo).expect("polling works");
+            let mut echo =
+                EchoWorker::new(workers, answers, stop_seen).expect("loopback has ports");
+            sender
+                .send((echo.discovery_address, echo.worker_address))
+                .expect("the starting thread waits for the addresses");
+            mio::run(&mut echo).expect("the event loop runs");
         });
-        let (roster, worker) = told.recv().expect("it starts");
-        Far {
-            roster,
-            worker,
+        let (discovery_address, worker_address) = addresses.recv().expect("the echo worker starts");
+        Backend {
+            discovery_address,
+            worker_address,
             stop,
             thread: Some(thread),
         }
     }
 }
 
-impl Drop for Far {
+impl Drop for Backend {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -128,12 +132,12 @@
     }
 }
 
-fn gateway(far: &Far, target: u64) -> (Process, SocketAddr, std::path::PathBuf) {
-    let at = free();
+fn gateway(backend: &Backend, target_ms: u64) -> (Process, SocketAddr, std::path::PathBuf) {
+    let at = free_address();
     let path = std::env::temp_dir().join(format!("tidewall-measure-{}.txtpb", at.port()));
     let mut file = std::fs::File::create(&path).expect("the temporary folder can be written");
-    file.write_all(settings(at, far.roster, target).as_bytes())
-        .expect("it can");
+    file.write_all(settings(at, backend.discovery_address, target_ms).as_bytes())
+        .expect("the temporary folder can be written");
     let process = Process::start(&[
         "serve",
         "--log",
@@ -145,38 +149,48 @@
     (process, at, path)
 }
 
-fn forwarder(far: &Far) -> (Process, SocketAddr) {
-    let at = free();
-    let process = Process::start(&["forward", &at.to_string(), &far.worker.to_string()]);
+fn forwarder(backend: &Backend) -> (Process, SocketAddr) {
+    let at = free_address();
+    let process = Process::start(&[
+        "forward",
+        &at.to_string(),
+        &backend.worker_address.to_string(),
+    ]);
     std::thread::sleep(Duration::from_millis(200));
     (process, at)
 }
 
-struct Measured {
+struct Measurement {
     rate: f64,
     answered: f64,
     cpu: f64,
     latency: Histogram<u64>,
 }
 
-/// `rate` 0: as fast as answers come, with `window` out at a time.
-fn measure(to: SocketAddr, process: Option<&Process>, rate: f64, window: usize) -> Measured {
-    let load = Load::new(to, rate, window).expect("sockets are to be had");
-    measured(load, process)
+/// Measures native clients at `rate` requests per second; with rate 0 as fast as answers arrive, with
+/// `window` open requests.
+fn measure_native(
+    to: SocketAddr,
+    process: Option<&Process>,
+    rate: f64,
+    window: usize,
+) -> Measurement {
+    let load = NativeClients::new(to, rate, window).expect("sockets are available");
+    run_measurement(load, process)
 }
 
-fn measured(mut load: Load, process: Option<&Process>) -> Measured {
-    load.until(1.0);
-    mio::run(&mut load).expect("polling works");
-    load.begin();
-    let (cpu, began) = (process.map_or(0.0, Process::cpu), Instant::now());
-    load.until(SECONDS as f64);
-    mio::run(&mut load).expect("polling works");
+fn run_measurement(mut load: NativeClients, process: Option<&Process>) -> Measurement {
+    load.run_for(1.0);
+    mio::run(&mut load).expect("the event loop runs");
+    load.start_counting();
+    let (cpu, started_at) = (process.map_or(0.0, Process::cpu), Instant::now());
+    load.run_for(SECONDS as f64);
+    mio::run(&mut load).expect("the event loop runs");
     let (spent, cpu) = (
-        began.elapsed().as_secs_f64(),
+        started_at.elapsed().as_secs_f64(),
         process.map_or(0.0, Process::cpu) - cpu,
     );
-    Measured {
+    Measurement {
         rate: load.sent as f64 / spent,
         answered: load.handled as f64 / load.sent.max(1) as f64,
         cpu: cpu / load.handled.max(1) as f64 * 1e6,
@@ -184,25 +198,25 @@
     }
 }
 
-fn line(name: &str, m: &Measured) {
-    let q = |q: f64| m.latency.value_at_quantile(q) as f64 / 1000.0;
+fn print_row(name: &str, m: &Measurement) {
+    let quantile_ms = |quantile: f64| m.latency.value_at_quantile(quantile) as f64 / 1000.0;
     println!(
         "{name:<10} {:>9.0} {:>9.4} {:>9.3} {:>9.3} {:>9.3} {:>9.2}",
         m.rate,
         m.answered,
-        q(0.5),
-        q(0.99),
-        q(0.999),
+        quantile_ms(0.5),
+        quantile_ms(0.99),
+        quantile_ms(0.999),
         m.cpu
     );
 }
 
-/// The decisions alone: arrivals and ends with nothing behind them.
-struct Nothing(Vec<(usize, usize)>);
+/// Scheduler actions without effect: records the attempts that the scheduler sends as (request, worker).
+struct RecordedAttempts(Vec<(usize, usize)>);
 
-impl SchedulerActions for Nothing {
-    fn send_attempt(&mut self, evt: usize, wk: usize, _: Time) {
-        self.0.push((evt, wk));
+impl SchedulerActions for RecordedAttempts {
+    fn send_attempt(&mut self, request: usize, worker: usize, _: Time) {
+        self.0.push((request, worker));
     }
     fn cancel_attempt(&mut self, _: usize, _: usize) {}
     fn reject(&mut self, _: usize, _: Time) {}
@@ -220,32 +234,34 @@
     fn log_note(&mut self, _: &str) {}
 }
 
-/// Microseconds of CPU for one event in the decisions, at a pace of `rate` a second.
-fn module(workers: usize, rate: u64) -> f64 {
-    let text = settings(free(), free(), 1000);
-    let s = tidewall_config::settings("measure", &text).expect("they are good");
-    let map = tidewall_config::scheduler_settings(&s, 0);
-    let mut choice = Scheduler::new(Nothing(Vec::new()), 1, 7, map).expect("they are good");
-    let listed = |wk: usize| {
+/// The time that the scheduler alone needs per request, in microseconds, at `rate` simulated requests per
+/// second.
+fn scheduler_time_us(workers: usize, rate: u64) -> f64 {
+    let text = settings(free_address(), free_address(), 1000);
+    let parsed = tidewall_config::settings("measure", &text).expect("the settings are valid");
+    let scheduler_settings = tidewall_config::scheduler_settings(&parsed, 0);
+    let mut scheduler = Scheduler::new(RecordedAttempts(Vec::new()), 1, 7, scheduler_settings)
+        .expect("the settings are valid");
+    let endpoint_of = |worker: usize| {
         (
-            wk,
+            worker,
             Endpoint {
-                name_hash: wk as u64 * 0x9e37_79b9,
+                name_hash: worker as u64 * 0x9e37_79b9,
                 state: EndpointState::Active,
                 rating: 2.0,
                 ..Endpoint::default()
             },
         )
     };
-    choice.update_endpoints(&(0..workers).map(listed).collect::<Vec<_>>(), true);
-    let (count, began) = (200_000u64, Instant::now());
-    let mut swept = 0;
+    scheduler.update_endpoints(&(0..workers).map(endpoint_of).collect::<Vec<_>>(), true);
+    let (count, started_at) = (200_000u64, Instant::now());
+    let mut last_tick = 0;
     for i in 0..count {
         let now = 1 + i * 10_000 / rate;
-        choice.advance_clock(now);
-        while swept + 100 <= now {
-            swept += 100;
-            choice.timer_fired(0);
+        scheduler.advance_clock(now);
+        while last_tick + 100 <= now {
+            last_tick += 100;
+            scheduler.timer_fired(0);
         }
         let arrival = RequestInfo {
             function: 0,
@@ -254,25 +270,25 @@
             deadline: now + 10_000,
             ..RequestInfo::default()
         };
-        choice.request_arrived(arrival);
-        while let Some((evt, _)) = choice.host.0.pop() {
-            choice.attempt_ended(evt, 0, (Outcome::Ok, 5), true, 1);
+        scheduler.request_arrived(arrival);
+        while let Some((request, _)) = scheduler.host.0.pop() {
+            scheduler.attempt_ended(request, 0, (Outcome::Ok, 5), true, 1);
         }
     }
-    began.elapsed().as_secs_f64() / count as f64 * 1e6
+    started_at.elapsed().as_secs_f64() / count as f64 * 1e6
 }
 
 fn main() {
     let args: Vec<String> = std::env::args().collect();
     match args.get(1).map(String::as_str) {
         Some("forward") => return forward::run(&args[2], &args[3]),
-        Some("amqp") => return amqp(),
-        Some("idle") => return idle(),
+        Some("amqp") => return measure_amqp(),
+        Some("idle") => return idle_connection_memory(),
         Some("pair") => return pair::run(args.get(2).is_some_and(|a| a == "quick")),
-        Some("busiest") => return table(&[(0.0, 64), (0.0, 512)]),
+        Some("busiest") => return print_table(&[(0.0, 64), (0.0, 512)]),
         _ => {}
     }
-    table(&[
+    print_table(&[
         (950.0, 0),
         (5000.0, 0),
         (20_000.0, 0),
@@ -282,13 +298,13 @@
     for (workers, rate) in [(12, 950), (12, 5000), (12, 50_000), (91, 5000)] {
         println!(
             "decisions alone, {workers} workers, {rate} a second: {:.2} us an event",
-            module(workers, rate)
+            scheduler_time_us(workers, rate)
         );
     }
-    memory();
+    request_memory();
 }
 
-fn table(rows: &[(f64, usize)]) {
+fn print_table(rows: &[(f64, usize)]) {
     println!(
         "{SECONDS} s each, 8 connections, 200 bytes of payload, times in ms, CPU in us an event"
     );
@@ -305,31 +321,41 @@
                 format!("{window} out at a time")
             }
         );
-        let far = Far::start(12, true);
-        line("direct", &measure(far.worker, None, rate, window));
-        let (process, at) = forwarder(&far);
-        line("forwarder", &measure(at, Some(&process), rate, window));
+        let backend = Backend::start(12, true);
+        print_row(
+            "direct",
+            &measure_native(backend.worker_address, None, rate, window),
+        );
+        let (process, at) = forwarder(&backend);
+        print_row(
+            "forwarder",
+            &measure_native(at, Some(&process), rate, window),
+        );
         drop(process);
-        let (process, at, path) = gateway(&far, 1000);
-        line("gateway", &measure(at, Some(&process), rate, window));
+        let (process, at, path) = gateway(&backend, 1000);
+        print_row("gateway", &measure_native(at, Some(&process), rate, window));
         drop(process);
         let _ = std::fs::remove_file(path);
     }
 }
 
-/// A gateway with both doors.
-fn both_doors(far: &Far) -> (Process, SocketAddr, SocketAddr, std::path::PathBuf) {
+/// Starts a gateway with the native and the AMQP ingress.
+fn gateway_with_amqp(backend: &Backend) -> (Process, SocketAddr, SocketAddr, std::path::PathBuf) {
     use argon2::password_hash::{PasswordHasher, SaltString};
-    let cheap = argon2::Params::new(8, 1, 1, None).expect("they are good");
-    let cheap = argon2::Argon2::new(argon2::Algorithm::Argon2id, argon2::Version::V0x13, cheap);
-    let salt = SaltString::encode_b64(b"0123456789abcdef").expect("it is long enough");
-    let hash = cheap
+    let fast_argon2 = argon2::Params::new(8, 1, 1, None).expect("the parameters are valid");
+    let fast_argon2 = argon2::Argon2::new(
+        argon2::Algorithm::Argon2id,
+        argon2::Version::V0x13,
+        fast_argon2,
+    );
+    let salt = SaltString::encode_b64(b"0123456789abcdef").expect("the salt is long enough");
+    let hash = fast_argon2
         .hash_password(b"terminal", &salt)
-        .expect("it hashes")
+        .expect("the password can be hashed")
         .to_string();
-    let (at, door) = (free(), free());
-    let text = settings(at, far.roster, 1000)
-        .replace("seed: 7", &format!("seed: 7 amqp_address: \"{door}\""))
+    let (at, amqp_address) = (free_address(), free_address());
+    let text = settings(at, backend.discovery_address, 1000)
+        .replace("seed: 7", &format!("seed: 7 amqp_address: \"{amqp_address}\""))
         + &format!(
             "amqp {{ user {{ name: \"terminal\" password_hash: \"{hash}\" }} in_hand: 100000 logins: 20000 handshake_ms: 60000 queued_mb: 400 \
             function {{ name: \"f*\" lanes: 1000 }} }}\n"
@@ -344,11 +370,11 @@
         path.to_str().expect("text"),
     ]);
     std::thread::sleep(Duration::from_millis(400));
-    (process, at, door, path)
+    (process, at, amqp_address, path)
 }
 
-/// Publishes of 1 KiB with confirms, beside native events through the same gateway.
-fn amqp() {
+/// Measures AMQP publishes of 1 KiB with confirms, compared with native requests through the same gateway.
+fn measure_amqp() {
     println!(
         "{SECONDS} s each, 8 connections, bodies of 1024 bytes, confirms, times in ms, CPU in us an event"
     );
@@ -372,41 +398,41 @@
                 format!("{window} out at a time")
             }
         );
-        let far = Far::start(12, true);
-        let (process, at, door, path) = both_doors(&far);
-        line("native", &measure(at, Some(&process), rate, window));
-        let mut load =
-            terminals::Terminals::new(door, 8, rate, window).expect("sockets are to be had");
-        load.until(1.5);
-        mio::run(&mut load).expect("polling works");
-        load.begin();
-        let (cpu, began) = (process.cpu(), Instant::now());
-        load.until(SECONDS as f64);
-        mio::run(&mut load).expect("polling works");
-        let (spent, cpu) = (began.elapsed().as_secs_f64(), process.cpu() - cpu);
-        let m = Measured {
+        let backend = Backend::start(12, true);
+        let (process, at, amqp_address, path) = gateway_with_amqp(&backend);
+        print_row("native", &measure_native(at, Some(&process), rate, window));
+        let mut load = terminals::AmqpClients::new(amqp_address, 8, rate, window)
+            .expect("sockets are available");
+        load.run_for(1.5);
+        mio::run(&mut load).expect("the event loop runs");
+        load.start_counting();
+        let (cpu, started_at) = (process.cpu(), Instant::now());
+        load.run_for(SECONDS as f64);
+        mio::run(&mut load).expect("the event loop runs");
+        let (spent, cpu) = (started_at.elapsed().as_secs_f64(), process.cpu() - cpu);
+        let m = Measurement {
             rate: load.sent as f64 / spent,
             answered: load.handled as f64 / load.sent.max(1) as f64,
             cpu: cpu / load.handled.max(1) as f64 * 1e6,
             latency: load.latency,
         };
-        line("amqp", &m);
+        print_row("amqp", &m);
         drop(process);
         let _ = std::fs::remove_file(path);
     }
-    idle();
+    idle_connection_memory();
 }
 
-/// A hundred thousand messages of 1 KiB in one queue, by a plain client.
-fn queued() {
+/// Measures the memory of 100,000 messages of 1 KiB in one queue, published by a plain client.
+fn queue_memory() {
     use std::io::{Read, Write};
     use tidewall_amqp::codec::{
         decode_frame, write_content, FrameWriter, MethodId, PROTOCOL_HEADER,
     };
-    let far = Far::start(1, true);
-    let (process, _, door, path) = both_doors(&far);
-    let empty = process.memory();
-    let mut socket = std::net::TcpStream::connect(door).expect("the door is open");
+    let backend = Backend::start(1, true);
+    let (process, _, amqp_address, path) = gateway_with_amqp(&backend);
+    let empty = process.resident_bytes();
+    let mut socket = std::net::TcpStream::connect(amqp_address).expect("the AMQP ingress is open");
     let mut out = PROTOCOL_HEADER.to_vec();
     let m = FrameWriter::method(&mut out, 0, MethodId::new(10, 11))
         .long_str(b"")
@@ -414,8 +440,8 @@
     m.long_str(b"\0terminal\0terminal")
         .short_str("en_US")
         .finish();
-    socket.write_all(&out).expect("it reads");
-    // Tune comes once the password was checked.
+    socket.write_all(&out).expect("the gateway reads");
+    // Waits for Connection.Tune, which the gateway sends after it has checked the password.
     std::thread::sleep(Duration::from_millis(500));
     out.clear();
     FrameWriter::method(&mut out, 0, MethodId::new(10, 31))
@@ -437,7 +463,7 @@
         .octet(0)
         .long_str(b"")
         .finish();
-    socket.write_all(&out).expect("it reads");
+    socket.write_all(&out).expect("the gateway reads");
     for _ in 0..100 {
         out.clear();
         for _ in 0..1_000 {
@@ -449,9 +475,9 @@
                 .finish();
             write_content(&mut out, 1, &[0, 0], &[7; 1024], 131_072);
         }
-        socket.write_all(&out).expect("it reads");
+        socket.write_all(&out).expect("the gateway reads");
     }
-    // Its count is told by a passive declare.
+    // A passive declare returns the number of messages in the queue.
     out.clear();
     FrameWriter::method(&mut out, 1, MethodId::new(50, 10))
         .short(0)
@@ -459,54 +485,55 @@
         .octet(1)
         .long_str(b"")
         .finish();
-    socket.write_all(&out).expect("it reads");
+    socket.write_all(&out).expect("the gateway reads");
     socket
         .set_read_timeout(Some(Duration::from_secs(3)))
-        .expect("it can be set");
-    let (mut got, mut chunk) = (Vec::new(), [0; 4096]);
+        .expect("the timeout can be set");
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     while let Ok(n) = socket.read(&mut chunk) {
-        got.extend_from_slice(&chunk[..n]);
+        received.extend_from_slice(&chunk[..n]);
         if n == 0 {
             break;
         }
     }
     let (mut at, mut count) = (0, 0);
-    while let Ok(Some((f, used))) = decode_frame(&got[at..], 131_072) {
+    while let Ok(Some((f, used))) = decode_frame(&received[at..], 131_072) {
         if f.payload.starts_with(&[0, 50, 0, 11]) {
             count = u32::from_be_bytes([f.payload[6], f.payload[7], f.payload[8], f.payload[9]]);
         }
         at += used;
     }
-    let each = (process.memory() - empty) / f64::from(count.max(1));
+    let each = (process.resident_bytes() - empty) / f64::from(count.max(1));
     println!("{count} messages of 1024 octets queued: {each:.0} bytes each");
     drop(process);
     let _ = std::fs::remove_file(path);
 }
 
-/// Ten thousand terminals that log in and then say nothing.
-fn idle() {
-    queued();
-    let far = Far::start(1, true);
-    let (process, _, door, path) = both_doors(&far);
-    let empty = process.memory();
-    let mut load = terminals::Terminals::new(door, 10_000, 1.0, 0).expect("sockets are to be had");
-    load.until(15.0);
-    mio::run(&mut load).expect("polling works");
-    let each = (process.memory() - empty) / 10_000.0;
+/// Measures the memory of 10,000 AMQP clients that log in and then stay idle.
+fn idle_connection_memory() {
+    queue_memory();
+    let backend = Backend::start(1, true);
+    let (process, _, amqp_address, path) = gateway_with_amqp(&backend);
+    let empty = process.resident_bytes();
+    let mut load =
+        terminals::AmqpClients::new(amqp_address, 10_000, 1.0, 0).expect("sockets are available");
+    load.run_for(15.0);
+    mio::run(&mut load).expect("the event loop runs");
+    let each = (process.resident_bytes() - empty) / 10_000.0;
     println!("10000 idle connections: {each:.0} bytes each");
     drop(process);
     let _ = std::fs::remove_file(path);
 }
 
-fn memory() {
-    let far = Far::start(12, false);
-    let (process, at, path) = gateway(&far, 3_600_000);
-    let empty = process.memory();
-    let mut load = Load::new(at, 10_000.0, 0).expect("sockets are to be had");
-    load.until(2.0);
-    mio::run(&mut load).expect("polling works");
+fn request_memory() {
+    let backend = Backend::start(12, false);
+    let (process, at, path) = gateway(&backend, 3_600_000);
+    let empty = process.resident_bytes();
+    let mut load = NativeClients::new(at, 10_000.0, 0).expect("sockets are available");
+    load.run_for(2.0);
+    mio::run(&mut load).expect("the event loop runs");
     std::thread::sleep(Duration::from_millis(300));
-    let held = process.memory() - empty;
+    let held = process.resident_bytes() - empty;
     println!(
         "{} events held: {:.0} bytes each, {:.1} MiB empty",
         load.sent,
@@ -515,14 +542,14 @@
     );
     drop(process);
     let _ = std::fs::remove_file(path);
-    let far = Far::start(91, true);
-    let (process, at, path) = gateway(&far, 1000);
-    let empty = process.memory();
-    let mut load = Load::new(at, 2_000.0, 0).expect("sockets are to be had");
+    let backend = Backend::start(91, true);
+    let (process, at, path) = gateway(&backend, 1000);
+    let empty = process.resident_bytes();
+    let mut load = NativeClients::new(at, 2_000.0, 0).expect("sockets are available");
     load.functions = 2_000;
-    load.until(3.0);
-    mio::run(&mut load).expect("polling works");
-    let more = process.memory() - empty;
+    load.run_for(3.0);
+    mio::run(&mut load).expect("the event loop runs");
+    let more = process.resident_bytes() - empty;
     println!(
         "91 workers and 2000 functions: {:.1} MiB more",
         more / 1048576.0
--- a/crates/tidewall-benchmarks/src/terminals.rs
+++ b/crates/tidewall-benchmarks/src/terminals.rs
@@ -1,4 +1,4 @@
-//! Terminals for a measurement: eight AMQP connections that publish with confirms.
+//! AMQP clients for a measurement: connections that publish with confirms.
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,23 +8,24 @@
 use tidewall_net::{App, CloseReason, Conn, Listener, Net};
 
 #[derive(Default)]
-struct Told {
+struct Observed {
     ready: usize,
-    /// Confirms, acks or not.
-    done: Vec<(u64, bool)>,
+    /// The confirms: the request, and whether it was acknowledged.
+    confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Told {
+impl Heard for Observed {
     fn ready(&mut self) {
         self.ready += 1;
     }
     fn answer(&mut self, _: u64, _: &str, _: u64) {}
-    fn confirmed(&mut self, evt: u64, good: bool) {
-        self.done.push((evt, good));
+    fn confirmed(&mut self, request: u64, acknowledged: bool) {
+        self.confirms.push((request, acknowledged));
     }
 }
 
-pub struct Terminals {
+/// AMQP clients that publish at a fixed rate, or with a fixed number of unconfirmed publishes.
+pub struct AmqpClients {
     net: Mio,
     conns: Vec<(Conn, Terminal)>,
     ready: usize,
@@ -33,27 +34,28 @@
     body: Vec<u8>,
     pub sent: u64,
     pub handled: u64,
-    pub other: u64,
+    pub rejected: u64,
     next: u64,
-    due: HashMap<u64, u64>,
-    began: Instant,
-    counted_from: u64,
-    offset: u64,
+    /// When each unconfirmed publish was due, in microseconds since the start.
+    due_at: HashMap<u64, u64>,
+    started_at: Instant,
+    first_counted: u64,
+    pace_origin: u64,
     pub latency: Histogram<u64>,
 }
 
-impl Terminals {
+impl AmqpClients {
     pub fn new(
         to: SocketAddr,
         connections: usize,
         rate: f64,
         window: usize,
-    ) -> std::io::Result<Terminals> {
+    ) -> std::io::Result<AmqpClients> {
         let mut net = Mio::new()?;
         let conns = (0..connections)
             .map(|_| (net.connect(to, 50_000), Terminal::default()))
             .collect();
-        Ok(Terminals {
+        Ok(AmqpClients {
             net,
             conns,
             ready: 0,
@@ -62,68 +64,70 @@
             body: vec![7; 1024],
             sent: 0,
             handled: 0,
-            other: 0,
+            rejected: 0,
             next: 0,
-            due: HashMap::new(),
-            began: Instant::now(),
-            counted_from: 0,
-            offset: 0,
-            latency: Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are good"),
+            due_at: HashMap::new(),
+            started_at: Instant::now(),
+            first_counted: 0,
+            pace_origin: 0,
+            latency: Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid"),
         })
     }
 
-    pub fn until(&mut self, seconds: f64) {
+    /// Lets the event loop run for this many seconds.
+    pub fn run_for(&mut self, seconds: f64) {
         self.net.go_on();
         let at = self.net.now() + (seconds * 10_000.0) as u64;
         self.net.set_timer(at, 1);
         self.net.set_timer(0, 0);
     }
 
-    pub fn begin(&mut self) {
-        (self.sent, self.handled, self.other, self.counted_from) = (0, 0, 0, self.next);
+    /// Starts to count; what was sent before was warm-up.
+    pub fn start_counting(&mut self) {
+        (self.sent, self.handled, self.rejected, self.first_counted) = (0, 0, 0, self.next);
         self.latency.reset();
     }
 
-    fn micros(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+    fn elapsed_micros(&self) -> u64 {
+        self.started_at.elapsed().as_micros() as u64
     }
 
-    fn send(&mut self, due: u64) {
-        let evt = self.next;
-        self.due.insert(evt, due);
-        let at = evt as usize % self.conns.len();
+    fn send(&mut self, due_at: u64) {
+        let request = self.next;
+        self.due_at.insert(request, due_at);
+        let index = request as usize % self.conns.len();
         let mut out = Vec::with_capacity(2048);
-        let key = format!("t.f{}", evt % 4);
-        self.conns[at]
+        let key = format!("t.f{}", request % 4);
+        self.conns[index]
             .1
-            .publish(&mut out, evt, &key, 900, evt + 1, false, &self.body);
-        self.net.write(self.conns[at].0, &out);
+            .publish(&mut out, request, &key, 900, request + 1, false, &self.body);
+        self.net.write(self.conns[index].0, &out);
         self.next += 1;
         self.sent += 1;
     }
 
-    fn pace(&mut self) {
+    fn send_due(&mut self) {
         if self.ready < self.conns.len() {
-            self.offset = self.micros();
+            self.pace_origin = self.elapsed_micros();
         } else if self.rate > 0.0 {
-            let now = self.micros();
+            let now = self.elapsed_micros();
             loop {
-                let due = self.offset + (self.next as f64 * 1e6 / self.rate) as u64;
-                if due > now {
+                let due_at = self.pace_origin + (self.next as f64 * 1e6 / self.rate) as u64;
+                if due_at > now {
                     break;
                 }
-                self.send(due);
+                self.send(due_at);
             }
         } else if self.next == 0 {
             for _ in 0..self.window {
-                let now = self.micros();
+                let now = self.elapsed_micros();
                 self.send(now);
             }
         }
     }
 }
 
-impl App for Terminals {
+impl App for AmqpClients {
     type Net = Mio;
     fn net(&mut self) -> &mut Mio {
         &mut self.net
@@ -131,31 +135,32 @@
     fn accepted(&mut self, _: Listener, _: Conn, _: SocketAddr) {}
     fn connected(&mut self, conn: Conn) {
         let mut out = Vec::new();
-        if let Some(c) = self.conns.iter_mut().find(|c| c.0 == conn) {
-            c.1.connected(&mut out);
+        if let Some(client) = self.conns.iter_mut().find(|client| client.0 == conn) {
+            client.1.connected(&mut out);
         }
         self.net.write(conn, &out);
     }
     fn received(&mut self, conn: Conn, bytes: &[u8]) -> usize {
-        let (mut told, mut out, mut used) = (Told::default(), Vec::new(), 0);
-        if let Some(c) = self.conns.iter_mut().find(|c| c.0 == conn) {
-            while let Ok(one) = c.1.frame(&bytes[used..], &mut out, &mut told) {
-                if one == 0 {
+        let (mut observed, mut out, mut used) = (Observed::default(), Vec::new(), 0);
+        if let Some(client) = self.conns.iter_mut().find(|client| client.0 == conn) {
+            while let Ok(frame_length) = client.1.frame(&bytes[used..], &mut out, &mut observed) {
+                if frame_length == 0 {
                     break;
                 }
-                used += one;
+                used += frame_length;
             }
         }
         self.net.write(conn, &out);
-        self.ready += told.ready;
-        let now = self.micros();
-        for (evt, good) in told.done {
-            let due = self.due.remove(&evt).unwrap_or(now);
-            if evt >= self.counted_from && good {
+        self.ready += observed.ready;
+        let now = self.elapsed_micros();
+        for (request, acknowledged) in observed.confirms {
+            let due_at = self.due_at.remove(&request).unwrap_or(now);
+            if request >= self.first_counted && acknowledged {
                 self.handled += 1;
-                self.latency.saturating_record((now - due.min(now)).max(1));
-            } else if evt >= self.counted_from {
-                self.other += 1;
+                self.latency
+                    .saturating_record((now - due_at.min(now)).max(1));
+            } else if request >= self.first_counted {
+                self.rejected += 1;
             }
             if self.rate == 0.0 {
                 self.send(now);
@@ -165,13 +170,13 @@
     }
     fn writable(&mut self, _: Conn) {}
     fn closed(&mut self, _: Conn, why: CloseReason) {
-        panic!("a terminal's connection broke: {why:?}");
+        panic!("an AMQP client's connection broke: {why:?}");
     }
     fn timer_fired(&mut self, token: u64) {
         if token == 1 {
             return self.net.stop();
         }
-        self.pace();
+        self.send_due();
         let at = self.net.now() + 10;
         self.net.set_timer(at, 0);
     }
