--- a/crates/tidewall-fault-tests/src/relay.rs
+++ b/crates/tidewall-fault-tests/src/relay.rs
@@ -20,6 +20,7 @@
     pub loss_per_mille: u32,
     /// How many of 1,000 datagrams are duplicated.
     pub duplicate_per_mille: u32,
+    /// The fixed delay, and the longest additional delay that is drawn for each datagram.
     pub delay: Time,
     pub jitter: Time,
 }
@@ -73,7 +74,7 @@
     Bytes(Conn, Vec<u8>),
 }
 
-/// How often the relay reads the state that the test sets.
+/// How often the relay reads the state that the test sets: every 5 ms.
 const POLL_INTERVAL: Time = 50;
 const POLL_TOKEN: u64 = u64::MAX;
 
