--- a/crates/tidewall-sim/src/fleet.rs
+++ b/crates/tidewall-sim/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Several gateways that hold leases of fleet-wide tasks in common, each with its tasks as shipped: members, keepers, holders,
-//! and those that act at the stand-in workers. Troubles are drawn from the seed: few kinds a run, each often. The audit reads
-//! what reached the workers; when the troubles are over every task has to be held again.
+//! Simulates several gateways that share the leases of fleet-wide tasks, each with its lease task and its
+//! executor task as in production: membership, grantors, lease holders, and the effects at the emulated
+//! workers. Faults are drawn from the seed: few kinds per run, each of them often. The audit checks what
+//! reached the workers; after the end of the faults every lease has to be held again.
 use crate::pair::SharedRecord;
 use crate::site;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -25,20 +26,20 @@
 use tidewall_net::{App, CloseReason, Conn, DatagramSocket, Listener, Net, Time};
 use tidewall_vrrp::packet::Keys;
 
-/// What is left out on purpose, to show which net notices.
+/// A safeguard that a run omits on purpose, to show which check detects its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Plant {
     #[default]
     Nothing,
-    /// Keepers grant right after a start, without their memory.
+    /// Grantors grant leases right after a start, although they have forgotten what they granted before.
     Forgets,
-    /// A term is not shortened by what clocks may differ.
+    /// The holder does not shorten its lease by the clock drift bound.
     NotShortened,
-    /// Workers look at no epoch of a task.
+    /// Workers do not check the epochs of tasks.
     NoEpochs,
-    /// A renewal counts from its answer.
+    /// A renewed lease counts from the arrival of the reply instead of from the request.
     FromAnswer,
-    /// One keeper's vote counts twice, where its answer comes twice.
+    /// A grantor's vote counts twice if its reply arrives twice.
     TwoVotes,
 }
 
@@ -51,6 +52,7 @@
         Plant::TwoVotes,
     ];
 
+    /// The safety checks of the leases, without those that are omitted.
     pub fn guards(self) -> SafetyChecks {
         SafetyChecks {
             silent_start: self != Plant::Forgets,
@@ -62,85 +64,93 @@
     }
 }
 
-/// One trouble.
+/// A fault of the members or of their network. Times are in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// A process dies and starts again, without its memory.
+pub enum Fault {
+    /// A process is killed and restarts after `back`, with no memory of its former state.
     Kill { member: usize, back: Time },
-    /// All at once.
+    /// All processes are killed at once.
     KillAll { back: Time },
-    /// A process, or only one of its tasks, stands still.
+    /// A process, or one of its tasks, stalls.
     Pause {
         member: usize,
-        part: Part,
+        part: ProcessPart,
         lasts: Time,
     },
-    /// Nothing crosses between these members and the others: both ways, or only out of them, or only into them.
+    /// A partition between these members and the others: in both directions, or only out of them, or only
+    /// into them.
     Cut {
         members: Vec<usize>,
-        way: Ways,
+        way: Direction,
         lasts: Time,
     },
-    /// The same, again and again.
+    /// A flapping link: `times` such partitions in both directions, each of length `every`, and as long
+    /// between two of them.
     Flap {
         members: Vec<usize>,
         times: u32,
         every: Time,
     },
-    /// What goes between members is slow, uneven, lost and doubled.
+    /// The paths between all members get latency, jitter, loss and duplication.
     Slow { path: Path, lasts: Time },
-    /// The same between one member and the others.
+    /// The same for the paths between one member and the others.
     SlowOf {
         member: usize,
         path: Path,
         lasts: Time,
     },
-    /// What goes between one member's acts and the workers is slow.
+    /// The paths between one member's executor task and the workers get latency.
     SlowActs {
         member: usize,
         delay: Time,
         lasts: Time,
     },
-    /// Told to go; it starts again after a while.
+    /// A member is told to drain; `back` after its end it restarts.
     Leave { member: usize, back: Time },
-    /// All are told to go, one after the other.
+    /// All members are told to drain, one after the other, `every` apart.
     Rolling { every: Time, back: Time },
 }
 
+/// The parts of a process that a [`Fault::Pause`] stalls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum ProcessPart {
     All,
+    /// The lease task.
     Keeping,
+    /// The executor task.
     Acting,
 }
 
+/// The directions of a partition, as seen from its members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ways {
+pub enum Direction {
     Both,
     Out,
     In,
 }
 
-/// How a run goes.
+/// Parameters of a run.
 #[derive(Clone)]
 pub struct Setup {
     pub seed: u64,
     pub plant: Plant,
     pub members: usize,
     pub leases: usize,
-    /// Events a second; 0: no gateways, only their tasks.
+    /// Requests a second; 0 to run no gateways and clients, only the lease and executor tasks.
     pub rate: f64,
-    /// Drawn from the seed where left out.
-    pub troubles: Option<Vec<(Time, Trouble)>>,
-    /// How long troubles last, in seconds.
+    /// Faults, each with its time in tenths of a millisecond; None to draw them from the seed.
+    pub troubles: Option<Vec<(Time, Fault)>>,
+    /// How long clients send and faults occur, in seconds.
     pub seconds: f64,
-    /// Messages that may wait between two tasks; drawn where left out.
+    /// Capacity of the channels between the two tasks of a process; None to draw it.
     pub channel: Option<usize>,
-    /// Clocks are beyond their bound; drawn where left out.
+    /// Whether clocks drift beyond their bound; None to draw it.
     pub wild: Option<bool>,
+    /// Whether the report contains the record.
     pub keep: bool,
-    /// The settings' own defaults instead of those by which faults are met within seconds.
-    pub usual: bool,
+    /// Uses the settings' defaults for times and the clock drift bound, instead of values with which failures
+    /// occur within seconds.
+    pub default_timing: bool,
 }
 
 impl Setup {
@@ -156,11 +166,11 @@
             channel: None,
             wild: None,
             keep: false,
-            usual: false,
+            default_timing: false,
         }
     }
 
-    /// The smallest run: three members, all keepers, one task, nothing else.
+    /// The smallest run: three members, all of them grantors, one lease, no gateways, no faults.
     pub fn smallest(seed: u64) -> Setup {
         let troubles = Some(Vec::new());
         let (channel, wild) = (Some(64), Some(false));
@@ -177,67 +187,76 @@
     }
 }
 
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     pub seed: u64,
     pub digest: u64,
     pub steps: u64,
+    /// Requests of the clients.
     pub events: u64,
     pub handled: u64,
     pub service: f64,
-    /// Acts that reached workers in time, and how often a task changed hands.
+    /// Effects of tasks that reached the workers in time.
     pub acts: u64,
+    /// How often a lease changed its holder.
     pub changes: u64,
     pub datagrams: u64,
+    /// Datagrams that members rejected.
     pub refused: u64,
+    /// Commands that were dropped because the executor's mailbox was full.
     pub full: u64,
-    /// How long each task was held by nobody after the troubles, at most.
+    /// How long after the end of the faults all leases were held again, in tenths of a millisecond.
     pub idle: Time,
     pub cases: Vec<u64>,
     pub breaches: Vec<String>,
-    pub troubles: Vec<(Time, Trouble)>,
+    pub troubles: Vec<(Time, Fault)>,
+    /// Whether clocks drifted beyond their bound.
     pub wild: bool,
     pub record: Vec<u8>,
 }
 
-/// Bound of clocks in these runs: a tenth, so that what it guards against is met within seconds.
-pub const PPM: i64 = 100_000;
-pub const TERM: Time = 20_000;
+/// Clock drift bound of these runs in parts per million: 10 %, so that the failures it guards against occur
+/// within seconds.
+pub const CLOCK_DRIFT_BOUND_PPM: i64 = 100_000;
+/// Lease duration (2 s).
+pub const LEASE_DURATION: Time = 20_000;
 const KEY: &[u8] = b"a key of the fleet's runs, known to all";
 
+/// The key that all members share.
 pub fn keys() -> Keys {
     Keys(vec![(1, KEY.to_vec())])
 }
 
-const HALLS: [&str; 3] = ["north", "east", "west"];
+const ZONES: [&str; 3] = ["north", "east", "west"];
 
 fn settings(setup: &Setup, channel: usize) -> Section {
     let mut text = String::new();
-    for m in 0..setup.members {
+    for member in 0..setup.members {
         text += &format!(
-            "gateway {{ name: \"g{m}\" address: \"127.0.0.1:{}\" zone: \"{}\" common_address: \"127.0.{}.{}:9000\" }}\n",
-            7000 + m,
-            HALLS[m % 3],
-            1 + m / 200,
-            m % 200 + 1
+            "gateway {{ name: \"g{member}\" address: \"127.0.0.1:{}\" zone: \"{}\" common_address: \"127.0.{}.{}:9000\" }}\n",
+            7000 + member,
+            ZONES[member % 3],
+            1 + member / 200,
+            member % 200 + 1
         );
     }
-    let keepers = (0..if setup.members >= 5 { 5 } else { 3 })
-        .map(|m| format!("\"g{m}\""))
+    let grantors = (0..if setup.members >= 5 { 5 } else { 3 })
+        .map(|member| format!("\"g{member}\""))
         .collect::<Vec<_>>();
-    let times = if setup.usual {
+    let timing = if setup.default_timing {
         "term_ms: 5000 clocks_ppm: 1000 ticket_ms: 500 period_ms: 500 turn_ms: 1000 datagrams_per_s: 100000 bytes_per_s: 10000000"
             .to_string()
     } else {
-        format!("term_ms: 2000 clocks_ppm: {PPM} ticket_ms: 100 period_ms: 200 turn_ms: 40")
+        format!("term_ms: 2000 clocks_ppm: {CLOCK_DRIFT_BOUND_PPM} ticket_ms: 100 period_ms: 200 turn_ms: 40")
     };
     text += &format!(
-        "fleet_common {{ keeper: [{}] leases: {} {times} key_file: \"unused\" channel: {channel} }}\n",
-        keepers.join(", "),
+        "fleet_common {{ keeper: [{}] leases: {} {timing} key_file: \"unused\" channel: {channel} }}\n",
+        grantors.join(", "),
         setup.leases
     );
     text += &SETTINGS.replace("RATE", &setup.rate.max(1.0).to_string());
-    tidewall_config::settings("run", &text).expect("the run's settings are good")
+    tidewall_config::settings("run", &text).expect("the run's settings are valid")
 }
 
 const SETTINGS: &str = r#"
@@ -264,10 +283,10 @@
 }
 "#;
 
-/// Nobody: the place of a gateway that is not played.
-struct Empty(Memory);
+/// Takes the place of a gateway's event loop in a run without gateways; does nothing.
+struct AbsentGateway(Memory);
 
-impl App for Empty {
+impl App for AbsentGateway {
     type Net = Memory;
     fn net(&mut self) -> &mut Memory {
         &mut self.0
@@ -283,100 +302,140 @@
     fn timer_fired(&mut self, _: u64) {}
 }
 
-struct NoOrders;
+struct IgnoreCommands;
 
-impl Gateways for NoOrders {
+impl Gateways for IgnoreCommands {
     fn kill(&mut self, _: usize) {}
     fn start(&mut self, _: usize) {}
     fn still(&mut self, _: usize, _: bool) {}
 }
 
-/// One process: its loop, and the two tasks beside it.
+/// One gateway process: its event loop, its lease task and its executor task; `nets` are their network
+/// handles in this order.
 struct Process {
-    hands: [Memory; 3],
-    gateway: Result<Box<Gateway<Memory>>, Empty>,
-    keeping: LeaseTask<Memory>,
-    acting: ExecutorTask<Memory>,
-    told: Arc<AtomicBool>,
-    /// When it starts next.
-    back: Option<Time>,
-    leaves: Option<(Time, Time)>,
-    /// Its loop has ended, and its tasks go on for a while.
-    ended: bool,
-    still: bool,
-    life: u64,
+    nets: [Memory; 3],
+    gateway: Result<Box<Gateway<Memory>>, AbsentGateway>,
+    lease_task: LeaseTask<Memory>,
+    executor_task: ExecutorTask<Memory>,
+    shutdown: Arc<AtomicBool>,
+    /// Set while the process is dead: when it restarts.
+    restart_at: Option<Time>,
+    /// Set while the process drains: since when, and how long after its end it restarts.
+    draining: Option<(Time, Time)>,
+    /// The event loop has ended; the tasks may continue for a while.
+    loop_ended: bool,
+    stalled: bool,
+    incarnation: u64,
 }
 
+/// A run in progress.
 pub struct Run {
     setup: Setup,
-    s: Section,
+    settings: Section,
     world: Rc<RefCell<World>>,
     processes: Vec<Process>,
-    fleet_hand: Memory,
+    fleet_net: Memory,
     fleet: Fleet<Memory>,
     workers: Vec<(String, SocketAddr)>,
     record: SharedRecord,
-    troubles: Vec<(Time, Trouble)>,
-    next: usize,
-    ends: Vec<(Time, End)>,
-    cuts: Vec<(Vec<usize>, Ways)>,
-    slow: Option<Path>,
-    slow_of: Vec<(usize, Path)>,
+    troubles: Vec<(Time, Fault)>,
+    /// Index of the next fault in `troubles`.
+    next_fault: usize,
+    scheduled: Vec<(Time, ScheduledChange)>,
+    /// Partitions that are in effect.
+    partitions: Vec<(Vec<usize>, Direction)>,
+    /// The path between all members, if a fault has changed it.
+    slow_path: Option<Path>,
+    /// Members whose paths to all others a fault has changed.
+    slow_members: Vec<(usize, Path)>,
     wild: bool,
-    counted: Report,
+    /// Counters and violations so far.
+    totals: Report,
 }
 
+/// A scheduled change that ends a fault, or begins its next phase.
 #[derive(Clone)]
-enum End {
-    Go(usize, Part),
-    Mend(Vec<usize>, Ways),
-    MendAll,
-    MendOf(usize),
-    MendActs(usize),
+enum ScheduledChange {
+    /// A stalled process, or its stalled task, continues.
+    Resume(usize, ProcessPart),
+    /// This partition ends.
+    EndPartition(Vec<usize>, Direction),
+    /// The path between all members becomes normal again.
+    RestorePaths,
+    /// The paths of one member become normal again.
+    RestoreMemberPaths(usize),
+    /// The paths between a member's executor task and the workers become normal again.
+    RestoreExecutorPaths(usize),
+    /// A flapping link is cut in both directions.
     Cut(Vec<usize>),
-    Leave(usize, Time),
+    /// A member is told to drain, and restarts so long after its end.
+    Drain(usize, Time),
 }
 
-/// The run looks at the processes this often.
-const LOOK: Time = 50;
+/// Interval (5 ms) between two checks of the processes and the due faults.
+const SUPERVISION_INTERVAL: Time = 50;
 
-/// A process that was told to go and does not is killed after this, as SIGKILL would.
-const PATIENCE: Time = 50_000;
+/// A process that was told to drain and has not ended after this (5 s) is killed, as by SIGKILL.
+const DRAIN_TIMEOUT: Time = 50_000;
 
-fn process(setup: &Setup, s: &Section, hands: &[Memory; 3], me: usize, life: u64) -> Process {
-    let seed = setup.seed * 1_000 + life * 16 + me as u64;
-    let conf = CoordinationConfig::new(s, me, life, seed, setup.plant.guards(), Box::new(keys));
-    let (to_acts, acts_inbox) = channel::<ExecutorCommand>(conf.channel_capacity);
-    let (from_acts, inbox) = channel(conf.channel_capacity);
-    let mut watch: MailboxSender<ExecutorCommand> = to_acts.clone_sender();
-    let told = Arc::new(AtomicBool::new(false));
-    let over = Arc::new(AtomicBool::new(false));
-    let acting = ExecutorTask::new(hands[2].clone(), &conf, acts_inbox, from_acts, over);
-    let keeping = LeaseTask::new(hands[1].clone(), conf, (to_acts, inbox), told.clone());
-    let keeping = keeping.expect("its address is free");
+fn start_process(
+    setup: &Setup,
+    settings: &Section,
+    nets: &[Memory; 3],
+    member: usize,
+    incarnation: u64,
+) -> Process {
+    let seed = setup.seed * 1_000 + incarnation * 16 + member as u64;
+    let config = CoordinationConfig::new(
+        settings,
+        member,
+        incarnation,
+        seed,
+        setup.plant.guards(),
+        Box::new(keys),
+    );
+    let (to_executor, executor_inbox) = channel::<ExecutorCommand>(config.channel_capacity);
+    let (from_executor, inbox) = channel(config.channel_capacity);
+    let mut endpoint_updates: MailboxSender<ExecutorCommand> = to_executor.clone_sender();
+    let shutdown = Arc::new(AtomicBool::new(false));
+    let executor_done = Arc::new(AtomicBool::new(false));
+    let executor_task = ExecutorTask::new(
+        nets[2].clone(),
+        &config,
+        executor_inbox,
+        from_executor,
+        executor_done,
+    );
+    let lease_task = LeaseTask::new(
+        nets[1].clone(),
+        config,
+        (to_executor, inbox),
+        shutdown.clone(),
+    );
+    let lease_task = lease_task.expect("the member's address is free");
     let gateway = if setup.rate > 0.0 {
-        let mut gateway = site::plain(s, &hands[0], me, seed);
+        let mut gateway = site::start_plain_gateway(settings, &nets[0], member, seed);
         gateway.watch_endpoints(Box::new(move |list| {
-            watch.send(ExecutorCommand::EndpointsChanged(
+            endpoint_updates.send(ExecutorCommand::EndpointsChanged(
                 list.iter().map(|e| (e.name.clone(), e.address)).collect(),
             ))
         }));
         Ok(Box::new(gateway))
     } else {
-        Err(Empty(hands[0].clone()))
+        Err(AbsentGateway(nets[0].clone()))
     };
-    let hands = hands.clone();
+    let nets = nets.clone();
     Process {
-        hands,
+        nets,
         gateway,
-        keeping,
-        acting,
-        told,
-        back: None,
-        leaves: None,
-        ended: false,
-        still: false,
-        life,
+        lease_task,
+        executor_task,
+        shutdown,
+        restart_at: None,
+        draining: None,
+        loop_ended: false,
+        stalled: false,
+        incarnation,
     }
 }
 
@@ -384,38 +443,42 @@
     pub fn new(setup: Setup) -> Run {
         let world = memory::world();
         world.borrow_mut().seed(setup.seed);
-        let mut chance = ChaCha8Rng::seed_from_u64(setup.seed ^ 0xf1ee7);
+        let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ 0xf1ee7);
         let channel = setup.channel.unwrap_or(
             *[1, 2, 4, 64, 64, 64]
-                .choose(&mut chance)
-                .expect("there are some"),
+                .choose(&mut rng)
+                .expect("the list is not empty"),
         );
-        let s = settings(&setup, channel);
-        let hands: Vec<[Memory; 3]> = (0..setup.members)
+        let settings = settings(&setup, channel);
+        let nets: Vec<[Memory; 3]> = (0..setup.members)
             .map(|_| std::array::from_fn(|_| Memory::join(&world)))
             .collect();
-        let fleet_hand = Memory::join(&world);
-        let wild = setup.wild.unwrap_or(chance.random_ratio(1, 8));
-        let bound = match (setup.usual, wild) {
+        let fleet_net = Memory::join(&world);
+        let wild = setup.wild.unwrap_or(rng.random_ratio(1, 8));
+        let bound = match (setup.default_timing, wild) {
             (true, _) => 1_000,
-            (_, true) => 4 * PPM,
-            _ => PPM,
+            (_, true) => 4 * CLOCK_DRIFT_BOUND_PPM,
+            _ => CLOCK_DRIFT_BOUND_PPM,
         };
-        // The worst for a lease: its holder's clock is slow, and the keepers' are fast.
-        let worst = chance
+        // In half of the runs one member's clock is slow and all others are fast: the worst case for a lease
+        // which that member holds and the others grant.
+        let slow_member = rng
             .random_ratio(1, 2)
-            .then(|| chance.random_range(0..setup.members));
-        for (m, h) in hands.iter().enumerate() {
-            h[0].clock(chance.random_range(-200..=200));
-            // At the ends of the bound more often than within it: that is where it matters.
-            let ppm = match chance.random_range(0..4) {
-                _ if worst.is_some() => bound * if worst == Some(m) { -1 } else { 1 },
+            .then(|| rng.random_range(0..setup.members));
+        for (member, process_nets) in nets.iter().enumerate() {
+            process_nets[0].clock(rng.random_range(-200..=200));
+            // Otherwise half of the clocks are at the ends of the bound, where safety is most at risk.
+            let ppm = match rng.random_range(0..4) {
+                _ if slow_member.is_some() => {
+                    bound * if slow_member == Some(member) { -1 } else { 1 }
+                }
                 0 => -bound,
                 1 => bound,
-                _ => chance.random_range(-bound..=bound),
+                _ => rng.random_range(-bound..=bound),
             };
-            // One machine's tasks go by one clock; the loop's own is kept near, as clients judge it by theirs.
-            h[1..].iter().for_each(|hand| hand.clock(ppm));
+            // The two tasks of a process share a clock. The event loop's clock drifts little, as clients
+            // measure it by their own.
+            process_nets[1..].iter().for_each(|net| net.clock(ppm));
         }
         let record = SharedRecord::default();
         let plan = Plan {
@@ -424,51 +487,62 @@
             clients: setup.rate > 0.0,
             amqp: false,
             record: Box::new(record.clone()),
-            gateways: Box::new(NoOrders),
+            gateways: Box::new(IgnoreCommands),
             fences: true,
             forgets: false,
             task_epochs: setup.plant != Plant::NoEpochs,
             wild_clocks: wild,
         };
-        let fleet = Fleet::new(fleet_hand.clone(), &s, None, plan).expect("its addresses are free");
+        let fleet = Fleet::new(fleet_net.clone(), &settings, None, plan)
+            .expect("the emulator's addresses are free");
         let workers: Vec<(String, SocketAddr)> = fleet.workers();
         let span = (setup.seconds * 10_000.0) as Time;
-        let drawn = || draw(&mut chance, span, setup.members);
+        let drawn = || draw_faults(&mut rng, span, setup.members);
         let troubles = setup.troubles.clone().unwrap_or_else(drawn);
         let processes: Vec<Process> = (0..setup.members)
-            .map(|m| process(&setup, &s, &hands[m], m, 1_000 + m as u64))
+            .map(|member| {
+                start_process(
+                    &setup,
+                    &settings,
+                    &nets[member],
+                    member,
+                    1_000 + member as u64,
+                )
+            })
             .collect();
         let mut run = Run {
             setup,
-            s,
+            settings,
             world,
             processes,
-            fleet_hand,
+            fleet_net,
             fleet,
             workers,
             record,
             troubles,
-            next: 0,
-            ends: Vec::new(),
-            cuts: Vec::new(),
-            slow: None,
-            slow_of: Vec::new(),
+            next_fault: 0,
+            scheduled: Vec::new(),
+            partitions: Vec::new(),
+            slow_path: None,
+            slow_members: Vec::new(),
             wild,
-            counted: Report::default(),
+            totals: Report::default(),
         };
-        (0..run.processes.len()).for_each(|m| run.started(m));
+        (0..run.processes.len()).for_each(|member| run.list_workers(member));
         run
     }
 
-    /// Where no gateway is played nobody else tells the workers.
-    fn started(&mut self, m: usize) {
-        if self.processes[m].gateway.is_err() {
-            self.processes[m]
-                .acting
+    /// Passes the list of workers to the executor task of a process without a gateway, which would pass it
+    /// otherwise.
+    fn list_workers(&mut self, member: usize) {
+        if self.processes[member].gateway.is_err() {
+            self.processes[member]
+                .executor_task
                 .update_endpoints(self.workers.clone());
         }
     }
 
+    /// Sets the function that sees and changes the messages between nodes.
     pub fn tap(&mut self, tap: Tap) {
         self.world.borrow_mut().tap = Some(tap);
     }
@@ -477,357 +551,401 @@
         &self.world
     }
 
+    /// The simulated time, in tenths of a millisecond; the processes' own clocks drift from it.
     pub fn now(&self) -> Time {
         self.world.borrow().now()
     }
 
+    /// Delivers the next network event or timer, if one is due by `until`; returns whether there was one.
     pub fn step(&mut self, until: Time) -> bool {
         let mut apps: Vec<&mut dyn App<Net = Memory>> =
             Vec::with_capacity(3 * self.processes.len() + 1);
-        for p in &mut self.processes {
-            apps.push(match &mut p.gateway {
+        for process in &mut self.processes {
+            apps.push(match &mut process.gateway {
                 Ok(gateway) => &mut **gateway,
-                Err(empty) => empty,
+                Err(absent) => absent,
             });
-            apps.push(&mut p.keeping);
-            apps.push(&mut p.acting);
+            apps.push(&mut process.lease_task);
+            apps.push(&mut process.executor_task);
         }
         apps.push(&mut self.fleet);
         memory::step(&self.world, &mut apps, until)
     }
 
-    pub fn kill(&mut self, m: usize, back: Time) {
+    /// Kills a process, which restarts after `back`; does nothing if it is dead.
+    pub fn kill(&mut self, member: usize, back: Time) {
         let now = self.now();
-        let p = &mut self.processes[m];
-        if p.back.is_some() {
+        let process = &mut self.processes[member];
+        if process.restart_at.is_some() {
             return;
         }
-        for hand in &p.hands {
-            hand.still(false);
-            hand.kill();
+        for net in &process.nets {
+            net.still(false);
+            net.kill();
         }
-        (p.back, p.leaves) = (Some(now + back), None);
-        self.counted.refused += p.keeping.counters.datagrams_rejected.get();
-        self.counted.datagrams += p.keeping.counters.datagrams_sent.get();
-        self.counted.full += p.keeping.dropped_commands();
-        if !p.ended {
-            self.fleet.killed(m, true);
+        (process.restart_at, process.draining) = (Some(now + back), None);
+        self.totals.refused += process.lease_task.counters.datagrams_rejected.get();
+        self.totals.datagrams += process.lease_task.counters.datagrams_sent.get();
+        self.totals.full += process.lease_task.dropped_commands();
+        if !process.loop_ended {
+            self.fleet.killed(member, true);
         }
     }
 
-    fn start(&mut self, m: usize) {
-        let p = &self.processes[m];
-        let (hands, life) = (p.hands.clone(), p.life + 100);
-        hands.iter().for_each(|h| h.restart());
-        self.fleet.killed(m, false);
-        self.processes[m] = process(&self.setup, &self.s, &hands, m, life);
-        self.started(m);
+    fn start(&mut self, member: usize) {
+        let process = &self.processes[member];
+        let (nets, incarnation) = (process.nets.clone(), process.incarnation + 100);
+        nets.iter().for_each(|net| net.restart());
+        self.fleet.killed(member, false);
+        self.processes[member] =
+            start_process(&self.setup, &self.settings, &nets, member, incarnation);
+        self.list_workers(member);
     }
 
-    fn pause(&mut self, m: usize, part: Part, on: bool) {
-        let p = &self.processes[m];
-        if p.back.is_some() {
+    fn pause(&mut self, member: usize, part: ProcessPart, on: bool) {
+        let process = &self.processes[member];
+        if process.restart_at.is_some() {
             return;
         }
         let parts = match part {
-            Part::All => 0..3,
-            Part::Keeping => 1..2,
-            Part::Acting => 2..3,
+            ProcessPart::All => 0..3,
+            ProcessPart::Keeping => 1..2,
+            ProcessPart::Acting => 2..3,
         };
-        if part == Part::All && std::mem::replace(&mut self.processes[m].still, on) != on {
-            self.fleet.apart(m, on);
+        if part == ProcessPart::All
+            && std::mem::replace(&mut self.processes[member].stalled, on) != on
+        {
+            self.fleet.apart(member, on);
         }
-        let p = &self.processes[m];
-        parts.for_each(|i| p.hands[i].still(on));
+        let process = &self.processes[member];
+        parts.for_each(|i| process.nets[i].still(on));
     }
 
-    fn usual() -> Path {
+    /// The path between members without a fault.
+    fn normal_path() -> Path {
         Path {
             delay: 2,
             ..Path::default()
         }
     }
 
-    /// What befalls datagrams between members now: cuts that hold, and what is slow.
-    fn paths(&mut self) {
-        let mut w = self.world.borrow_mut();
+    /// Sets the paths between all members from the partitions and slow paths that are in effect.
+    fn update_paths(&mut self) {
+        let mut world = self.world.borrow_mut();
         for a in 0..self.processes.len() {
             for b in (0..self.processes.len()).filter(|b| *b != a) {
-                let struck = |(side, way): &(Vec<usize>, Ways)| {
+                let blocks = |(side, way): &(Vec<usize>, Direction)| {
                     let (out, into) = (side.contains(&a), side.contains(&b));
-                    out != into && (*way == Ways::Both || (*way == Ways::Out) == out)
+                    out != into && (*way == Direction::Both || (*way == Direction::Out) == out)
                 };
-                let cut = self.cuts.iter().any(struck);
-                let one = self
-                    .slow_of
+                let cut = self.partitions.iter().any(blocks);
+                let member_path = self
+                    .slow_members
                     .iter()
                     .find(|s| s.0 == a || s.0 == b)
                     .map(|s| s.1);
                 let path = Path {
                     cut,
-                    ..one.or(self.slow).unwrap_or(Run::usual())
+                    ..member_path.or(self.slow_path).unwrap_or(Run::normal_path())
                 };
-                w.path(
-                    &self.processes[a].hands[1],
-                    &self.processes[b].hands[1],
-                    path,
-                );
+                world.path(&self.processes[a].nets[1], &self.processes[b].nets[1], path);
             }
         }
     }
 
-    fn cut(&mut self, side: &[usize], way: Ways, on: bool) {
+    fn set_partition(&mut self, side: &[usize], way: Direction, on: bool) {
         if on {
-            self.cuts.push((side.to_vec(), way));
-        } else if let Some(i) = self.cuts.iter().position(|c| c.0 == side && c.1 == way) {
-            self.cuts.remove(i);
+            self.partitions.push((side.to_vec(), way));
+        } else if let Some(i) = self
+            .partitions
+            .iter()
+            .position(|c| c.0 == side && c.1 == way)
+        {
+            self.partitions.remove(i);
         }
-        self.paths();
+        self.update_paths();
     }
 
-    fn acts(&mut self, m: usize, path: Path) {
-        let mut w = self.world.borrow_mut();
-        w.path(&self.processes[m].hands[2], &self.fleet_hand, path);
-        w.path(&self.fleet_hand, &self.processes[m].hands[2], path);
+    /// Sets the paths between a member's executor task and the workers.
+    fn set_executor_path(&mut self, member: usize, path: Path) {
+        let mut world = self.world.borrow_mut();
+        world.path(&self.processes[member].nets[2], &self.fleet_net, path);
+        world.path(&self.fleet_net, &self.processes[member].nets[2], path);
     }
 
-    fn leave(&mut self, m: usize, back: Time) {
+    /// Tells a process to drain; it restarts `back` after its end.
+    fn drain(&mut self, member: usize, back: Time) {
         let now = self.now();
-        let p = &mut self.processes[m];
-        if p.back.is_none() && p.leaves.is_none() {
-            p.leaves = Some((now, back));
-            p.told.store(true, Ordering::Relaxed);
-            if let Ok(gateway) = &mut p.gateway {
+        let process = &mut self.processes[member];
+        if process.restart_at.is_none() && process.draining.is_none() {
+            process.draining = Some((now, back));
+            process.shutdown.store(true, Ordering::Relaxed);
+            if let Ok(gateway) = &mut process.gateway {
                 gateway.drain();
             }
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble) {
+    fn inject(&mut self, fault: Fault) {
         let now = self.now();
-        let all = self.processes.len();
-        match trouble {
-            Trouble::Kill { member, back } => self.kill(member, back),
-            Trouble::KillAll { back } => (0..all).for_each(|m| self.kill(m, back)),
-            Trouble::Pause {
+        let member_count = self.processes.len();
+        match fault {
+            Fault::Kill { member, back } => self.kill(member, back),
+            Fault::KillAll { back } => (0..member_count).for_each(|member| self.kill(member, back)),
+            Fault::Pause {
                 member,
                 part,
                 lasts,
             } => {
                 self.pause(member, part, true);
-                self.ends.push((now + lasts, End::Go(member, part)));
+                self.scheduled
+                    .push((now + lasts, ScheduledChange::Resume(member, part)));
             }
-            Trouble::Cut {
+            Fault::Cut {
                 members,
                 way,
                 lasts,
             } => {
-                self.cut(&members, way, true);
-                self.ends.push((now + lasts, End::Mend(members, way)));
+                self.set_partition(&members, way, true);
+                self.scheduled
+                    .push((now + lasts, ScheduledChange::EndPartition(members, way)));
             }
-            Trouble::Flap {
+            Fault::Flap {
                 members,
                 times,
                 every,
             } => {
                 for i in 0..Time::from(times) {
-                    self.ends
-                        .push((now + 2 * i * every, End::Cut(members.clone())));
-                    self.ends.push((
+                    self.scheduled
+                        .push((now + 2 * i * every, ScheduledChange::Cut(members.clone())));
+                    self.scheduled.push((
                         now + (2 * i + 1) * every,
-                        End::Mend(members.clone(), Ways::Both),
+                        ScheduledChange::EndPartition(members.clone(), Direction::Both),
                     ));
                 }
             }
-            Trouble::Slow { path, lasts } => {
-                self.slow = Some(path);
-                self.paths();
-                self.ends.push((now + lasts, End::MendAll));
+            Fault::Slow { path, lasts } => {
+                self.slow_path = Some(path);
+                self.update_paths();
+                self.scheduled
+                    .push((now + lasts, ScheduledChange::RestorePaths));
             }
-            Trouble::SlowOf {
+            Fault::SlowOf {
                 member,
                 path,
                 lasts,
             } => {
-                self.slow_of.push((member, path));
-                self.paths();
-                self.ends.push((now + lasts, End::MendOf(member)));
+                self.slow_members.push((member, path));
+                self.update_paths();
+                self.scheduled
+                    .push((now + lasts, ScheduledChange::RestoreMemberPaths(member)));
             }
-            Trouble::SlowActs {
+            Fault::SlowActs {
                 member,
                 delay,
                 lasts,
             } => {
-                self.acts(
+                self.set_executor_path(
                     member,
                     Path {
                         delay,
                         ..Path::default()
                     },
                 );
-                self.ends.push((now + lasts, End::MendActs(member)));
+                self.scheduled
+                    .push((now + lasts, ScheduledChange::RestoreExecutorPaths(member)));
             }
-            Trouble::Leave { member, back } => self.leave(member, back),
-            Trouble::Rolling { every, back } => {
-                for m in 0..all {
-                    self.ends
-                        .push((now + m as Time * every, End::Leave(m, back)));
+            Fault::Leave { member, back } => self.drain(member, back),
+            Fault::Rolling { every, back } => {
+                for member in 0..member_count {
+                    self.scheduled.push((
+                        now + member as Time * every,
+                        ScheduledChange::Drain(member, back),
+                    ));
                 }
             }
         }
     }
 
-    /// What is due by now: troubles, their ends, processes that start.
-    fn look(&mut self) {
+    /// Does what is due: begins and ends faults, records ended gateways, kills overdue ones and restarts
+    /// processes.
+    fn supervise(&mut self) {
         let now = self.now();
-        while self.troubles.get(self.next).is_some_and(|t| t.0 <= now) {
-            let trouble = self.troubles[self.next].1.clone();
-            self.next += 1;
-            self.trouble(trouble);
+        while self
+            .troubles
+            .get(self.next_fault)
+            .is_some_and(|t| t.0 <= now)
+        {
+            let fault = self.troubles[self.next_fault].1.clone();
+            self.next_fault += 1;
+            self.inject(fault);
         }
-        let (due, rest): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|e| e.0 <= now);
-        self.ends = rest;
+        let (due, rest): (Vec<_>, Vec<_>) = self.scheduled.drain(..).partition(|e| e.0 <= now);
+        self.scheduled = rest;
         for (_, end) in due {
             match end {
-                End::Go(m, part) => self.pause(m, part, false),
-                End::Mend(side, way) => self.cut(&side, way, false),
-                End::MendAll => {
-                    self.slow = None;
-                    self.paths();
+                ScheduledChange::Resume(member, part) => self.pause(member, part, false),
+                ScheduledChange::EndPartition(side, way) => self.set_partition(&side, way, false),
+                ScheduledChange::RestorePaths => {
+                    self.slow_path = None;
+                    self.update_paths();
                 }
-                End::MendOf(m) => {
-                    self.slow_of.retain(|s| s.0 != m);
-                    self.paths();
+                ScheduledChange::RestoreMemberPaths(member) => {
+                    self.slow_members.retain(|s| s.0 != member);
+                    self.update_paths();
                 }
-                End::MendActs(m) => self.acts(m, Run::usual()),
-                End::Cut(side) => self.cut(&side, Ways::Both, true),
-                End::Leave(m, back) => self.leave(m, back),
+                ScheduledChange::RestoreExecutorPaths(member) => {
+                    self.set_executor_path(member, Run::normal_path())
+                }
+                ScheduledChange::Cut(side) => self.set_partition(&side, Direction::Both, true),
+                ScheduledChange::Drain(member, back) => self.drain(member, back),
             }
         }
-        for m in 0..self.processes.len() {
-            let p = &mut self.processes[m];
-            if p.gateway.is_ok() && p.back.is_none() && !p.ended && p.hands[0].dead() {
-                // Its connections end with it.
-                p.ended = true;
-                p.hands[0].kill();
-                self.fleet.killed(m, true);
+        for member in 0..self.processes.len() {
+            let process = &mut self.processes[member];
+            if process.gateway.is_ok()
+                && process.restart_at.is_none()
+                && !process.loop_ended
+                && process.nets[0].dead()
+            {
+                // The event loop's connections end with it.
+                process.loop_ended = true;
+                process.nets[0].kill();
+                self.fleet.killed(member, true);
             }
-            let p = &self.processes[m];
-            let drained = p.gateway.as_ref().map_or(true, |_| p.hands[0].dead());
-            if let Some((at, back)) = p.leaves {
-                if p.keeping.is_finished() && drained || now > at + PATIENCE {
-                    self.kill(m, back);
+            let process = &self.processes[member];
+            let drained = process
+                .gateway
+                .as_ref()
+                .map_or(true, |_| process.nets[0].dead());
+            if let Some((at, back)) = process.draining {
+                if process.lease_task.is_finished() && drained || now > at + DRAIN_TIMEOUT {
+                    self.kill(member, back);
                 }
             }
-            if self.processes[m].back.is_some_and(|at| at <= now) {
-                self.start(m);
+            if self.processes[member]
+                .restart_at
+                .is_some_and(|at| at <= now)
+            {
+                self.start(member);
             }
         }
     }
 
-    pub fn until(&mut self, until: Time) {
+    /// Simulates until a time.
+    pub fn run_until(&mut self, until: Time) {
         while self.now() < until {
-            let next = (self.now() + LOOK).min(until);
+            let next = (self.now() + SUPERVISION_INTERVAL).min(until);
             while self.step(next) {}
-            self.look();
-            self.overlap();
+            self.supervise();
+            self.check_overlap();
         }
     }
 
-    /// Who may act on a task now, by its own clock.
+    /// The members that hold a task's lease now, each by its own clock.
     pub fn holders(&self, task: usize) -> Vec<usize> {
-        let may = |p: &Process| {
-            let now = p.hands[1].now();
-            p.back.is_none() && p.keeping.holder().lease(task).is_held(now)
+        let may = |process: &Process| {
+            let now = process.nets[1].now();
+            process.restart_at.is_none() && process.lease_task.holder().lease(task).is_held(now)
         };
         (0..self.processes.len())
-            .filter(|m| may(&self.processes[*m]))
+            .filter(|member| may(&self.processes[*member]))
             .collect()
     }
 
-    /// How a task stands at each member that wants it, and whom others think it should be with.
-    pub fn look_at(&self, task: usize) -> String {
+    /// Describes a lease's state at each running member, with the holder that this member prefers.
+    pub fn describe_lease(&self, task: usize) -> String {
         let each = self
             .processes
             .iter()
             .enumerate()
-            .filter(|p| p.1.back.is_none())
-            .map(|(m, p)| {
-                let l = p.keeping.holder().lease(task);
+            .filter(|process| process.1.restart_at.is_none())
+            .map(|(member, process)| {
+                let lease = process.lease_task.holder().lease(task);
                 format!(
-                    "{m}:{:?}/{:?}/{}",
-                    l.state,
-                    p.keeping.preferred_holder(task),
-                    if l.wanted() { "wanted" } else { "-" }
+                    "{member}:{:?}/{:?}/{}",
+                    lease.state,
+                    process.lease_task.preferred_holder(task),
+                    if lease.wanted() { "wanted" } else { "-" }
                 )
             });
         format!("task {task}: {}", each.collect::<Vec<_>>().join(" "))
     }
 
-    /// Two that may act on one task at once, each by its own clock, whether or not a turn of both falls into that time.
-    fn overlap(&mut self) {
+    /// Reports each task for which two members' executors hold a lease at once, each by its own clock, even
+    /// if not both of them execute it in that time.
+    fn check_overlap(&mut self) {
         for task in (0..self.setup.leases).filter(|_| !self.wild) {
-            let may = |p: &Process| p.back.is_none() && p.acting.is_held(p.hands[2].now(), task);
-            let both: Vec<usize> = (0..self.processes.len())
-                .filter(|m| may(&self.processes[*m]))
+            let may = |process: &Process| {
+                process.restart_at.is_none()
+                    && process.executor_task.is_held(process.nets[2].now(), task)
+            };
+            let holders: Vec<usize> = (0..self.processes.len())
+                .filter(|member| may(&self.processes[*member]))
                 .collect();
-            if both.len() > 1 && self.counted.breaches.len() < 3 {
+            if holders.len() > 1 && self.totals.breaches.len() < 3 {
                 let at = self.now() as f64 / 10.0;
-                self.counted
-                    .breaches
-                    .push(format!("{at} ms: task {task} may be acted on by {both:?}"));
+                self.totals.breaches.push(format!(
+                    "{at} ms: task {task} may be acted on by {holders:?}"
+                ));
             }
         }
     }
 
-    /// How many tasks are held where they should be.
-    pub fn settled(&self) -> bool {
-        let acted_on = |task| {
+    /// Whether each task has exactly one lease holder, an executor that holds it, and no member that is
+    /// giving it back.
+    pub fn is_settled(&self) -> bool {
+        let has_executor = |task| {
             self.processes
                 .iter()
-                .any(|p| p.acting.is_held(p.hands[2].now(), task))
+                .any(|process| process.executor_task.is_held(process.nets[2].now(), task))
         };
-        (0..self.setup.leases).all(|task| self.holders(task).len() == 1 && acted_on(task))
-            && self.processes.iter().all(|p| {
-                let holder = p.keeping.holder();
+        (0..self.setup.leases).all(|task| self.holders(task).len() == 1 && has_executor(task))
+            && self.processes.iter().all(|process| {
+                let holder = process.lease_task.holder();
                 (0..self.setup.leases).all(|t| holder.lease(t).state != LeaseState::Stopping)
             })
     }
 
+    /// Simulates to the end of the faults, then until all leases are held again, and audits the record.
     pub fn finish(mut self) -> Report {
         let span = (self.setup.seconds * 10_000.0) as Time;
-        self.until(span);
-        // All troubles are over: the network is whole, everybody runs.
-        self.ends.retain(|e| matches!(e.1, End::Go(..)));
-        let ends: Vec<_> = self.ends.drain(..).collect();
-        for (_, end) in ends {
-            if let End::Go(m, part) = end {
-                self.pause(m, part, false);
+        self.run_until(span);
+        // All faults end here: paths become normal and stalled processes continue.
+        self.scheduled
+            .retain(|e| matches!(e.1, ScheduledChange::Resume(..)));
+        let resumes: Vec<_> = self.scheduled.drain(..).collect();
+        for (_, end) in resumes {
+            if let ScheduledChange::Resume(member, part) = end {
+                self.pause(member, part, false);
             }
         }
-        (self.slow, self.cuts) = (None, Vec::new());
-        self.slow_of.clear();
-        self.paths();
-        (0..self.processes.len()).for_each(|m| self.acts(m, Run::usual()));
-        self.next = self.troubles.len();
+        (self.slow_path, self.partitions) = (None, Vec::new());
+        self.slow_members.clear();
+        self.update_paths();
+        (0..self.processes.len())
+            .for_each(|member| self.set_executor_path(member, Run::normal_path()));
+        self.next_fault = self.troubles.len();
         let began = self.now();
         let mut idle = None;
-        // The longest that a keeper's silence, a lease that runs out and a share may take one after the other.
-        let last = began + 6 * TERM;
+        // Upper bound on a grantor's silence after its start, the expiry of a lease and its redistribution,
+        // one after the other.
+        let last = began + 6 * LEASE_DURATION;
         while self.now() < last {
             let until = self.now() + 500;
-            self.until(until);
-            if self.settled() {
+            self.run_until(until);
+            if self.is_settled() {
                 idle.get_or_insert(self.now() - began);
-                // Events in hand, and the day's end, are waited for as well.
+                // With clients the run continues for 6 s, for requests in flight and the emulator's end.
                 if self.now() > began + 60_000 || self.setup.rate == 0.0 {
                     break;
                 }
             }
         }
-        let mut breaches = std::mem::take(&mut self.counted.breaches);
-        // Beyond their bound clocks may lapse leases at any time, and only safety is promised.
-        if idle.is_none() || !self.wild && !self.settled() {
+        let mut breaches = std::mem::take(&mut self.totals.breaches);
+        // With clocks beyond their bound leases may expire at any time, so it is enough that all were held
+        // once.
+        if idle.is_none() || !self.wild && !self.is_settled() {
             let held: Vec<_> = (0..self.setup.leases).map(|t| self.holders(t)).collect();
             breaches.push(format!(
                 "liveness: after {} ms tasks are held by {held:?}",
@@ -840,17 +958,17 @@
             .expect("JSON is text")
             .lines()
             .map(str::to_string);
-        let audit: Audit = tidewall_audit::check(lines).expect("the record is whole");
+        let audit: Audit = tidewall_audit::check(lines).expect("the record is complete");
         let rules = audit.verdicts.iter().enumerate();
         breaches.extend(rules.flat_map(|(i, v)| {
             v.breaches
                 .iter()
                 .map(move |b| format!("rule {}: {b}", i + 1))
         }));
-        for p in &self.processes {
-            self.counted.refused += p.keeping.counters.datagrams_rejected.get();
-            self.counted.datagrams += p.keeping.counters.datagrams_sent.get();
-            self.counted.full += p.keeping.dropped_commands();
+        for process in &self.processes {
+            self.totals.refused += process.lease_task.counters.datagrams_rejected.get();
+            self.totals.datagrams += process.lease_task.counters.datagrams_sent.get();
+            self.totals.full += process.lease_task.dropped_commands();
         }
         let results = self.fleet.results();
         let (digest, steps) = (self.world.borrow().digest(), self.world.borrow().steps);
@@ -873,7 +991,7 @@
             troubles: self.troubles,
             wild: self.wild,
             record: if self.setup.keep { bytes } else { Vec::new() },
-            ..self.counted
+            ..self.totals
         }
     }
 }
@@ -882,7 +1000,8 @@
     Run::new(setup).finish()
 }
 
-/// The fewest troubles with which this run still breaks a rule. None where it breaks none.
+/// Reduces the faults of a run that breaks a rule: removes each in turn and keeps what still breaks a rule,
+/// until none can be removed. None if the run breaks no rule.
 pub fn shrink(setup: &Setup) -> Option<Report> {
     let mut last = run(setup.clone());
     if last.breaches.is_empty() {
@@ -907,51 +1026,65 @@
     }
 }
 
-/// Two to four kinds of trouble are on in a run; four to twelve troubles of those.
-fn draw(chance: &mut ChaCha8Rng, span: Time, all: usize) -> Vec<(Time, Trouble)> {
-    // Cuts and slow links are where leases are put to the test: drawn more often than the others.
+/// Draws four to twelve faults of two to four kinds; their entries in `kinds` are the arms of the match
+/// below.
+fn draw_faults(rng: &mut ChaCha8Rng, span: Time, member_count: usize) -> Vec<(Time, Fault)> {
+    // Partitions (3) and the partition of a member on a slow link (9) are listed more than once, so that they
+    // are drawn more often than the others: they stress leases most.
     let mut kinds = vec![0, 1, 2, 3, 3, 4, 5, 6, 7, 8, 9, 9, 9];
-    kinds.shuffle(chance);
-    kinds.truncate(chance.random_range(2..=4));
-    let mut list: Vec<(Time, Trouble)> = Vec::new();
-    for _ in 0..chance.random_range(4..=12) {
-        // From before the first leases on.
-        let at = chance.random_range(span / 8..span * 7 / 8);
-        let member = chance.random_range(0..all);
-        // Shorter and longer than a term.
-        let (long, later) = (chance.random_ratio(1, 2), chance.random_ratio(1, 2));
-        let lasts = chance.random_range(200..if long { 2 * TERM } else { TERM / 2 });
-        let back = chance.random_range(100..if later { 25_000 } else { TERM / 4 });
-        let mut members: Vec<usize> = (0..all).collect();
-        members.shuffle(chance);
-        members.truncate(chance.random_range(1..=all / 2));
-        let kind = *kinds.choose(chance).expect("there are some");
-        let trouble = match kind {
-            0 => Trouble::Kill { member, back },
-            1 => Trouble::KillAll { back },
+    kinds.shuffle(rng);
+    kinds.truncate(rng.random_range(2..=4));
+    let mut faults: Vec<(Time, Fault)> = Vec::new();
+    for _ in 0..rng.random_range(4..=12) {
+        // Faults begin early enough to strike before the first leases are granted.
+        let at = rng.random_range(span / 8..span * 7 / 8);
+        let member = rng.random_range(0..member_count);
+        // Durations are shorter or longer than a lease.
+        let (lasts_long, restarts_late) = (rng.random_ratio(1, 2), rng.random_ratio(1, 2));
+        let lasts = rng.random_range(
+            200..if lasts_long {
+                2 * LEASE_DURATION
+            } else {
+                LEASE_DURATION / 2
+            },
+        );
+        let back = rng.random_range(
+            100..if restarts_late {
+                25_000
+            } else {
+                LEASE_DURATION / 4
+            },
+        );
+        let mut members: Vec<usize> = (0..member_count).collect();
+        members.shuffle(rng);
+        members.truncate(rng.random_range(1..=member_count / 2));
+        let kind = *kinds.choose(rng).expect("the list is not empty");
+        let fault = match kind {
+            0 => Fault::Kill { member, back },
+            1 => Fault::KillAll { back },
             2 => {
-                let part = *[Part::All, Part::Keeping, Part::Acting]
-                    .choose(chance)
-                    .expect("there are some");
-                Trouble::Pause {
+                let part = *[ProcessPart::All, ProcessPart::Keeping, ProcessPart::Acting]
+                    .choose(rng)
+                    .expect("the list is not empty");
+                Fault::Pause {
                     member,
                     part,
                     lasts,
                 }
             }
             3 => {
-                let way = *[Ways::Both, Ways::Out, Ways::In]
-                    .choose(chance)
-                    .expect("there are some");
-                Trouble::Cut {
+                let way = *[Direction::Both, Direction::Out, Direction::In]
+                    .choose(rng)
+                    .expect("the list is not empty");
+                Fault::Cut {
                     members,
                     way,
                     lasts,
                 }
             }
             4 => {
-                let (times, every) = (chance.random_range(2..6), chance.random_range(500..5_000));
-                Trouble::Flap {
+                let (times, every) = (rng.random_range(2..6), rng.random_range(500..5_000));
+                Fault::Flap {
                     members,
                     times,
                     every,
@@ -959,75 +1092,78 @@
             }
             5 => {
                 let path = Path {
-                    delay: chance.random_range(2..3_000),
-                    jitter: chance.random_range(0..4_000),
-                    lost: chance.random_range(0..400),
-                    twice: chance.random_range(0..500),
+                    delay: rng.random_range(2..3_000),
+                    jitter: rng.random_range(0..4_000),
+                    lost: rng.random_range(0..400),
+                    twice: rng.random_range(0..500),
                     cut: false,
                 };
-                Trouble::Slow {
+                Fault::Slow {
                     path,
-                    lasts: lasts.max(TERM / 4),
+                    lasts: lasts.max(LEASE_DURATION / 4),
                 }
             }
-            6 => Trouble::SlowActs {
+            6 => Fault::SlowActs {
                 member,
-                delay: chance.random_range(100..8_000),
+                delay: rng.random_range(100..8_000),
                 lasts,
             },
-            7 => Trouble::Leave { member, back },
+            7 => Fault::Leave { member, back },
             9 => {
-                // A member on a slow link is cut off, alone or with another one, while its renewals are on their way.
+                // A member on a slow link is partitioned, alone or with others, while its renewals are in
+                // flight.
                 let path = Path {
-                    delay: chance.random_range(2..4_000),
-                    jitter: chance.random_range(0..500),
+                    delay: rng.random_range(2..4_000),
+                    jitter: rng.random_range(0..500),
                     lost: 0,
-                    twice: chance.random_range(0..1_000),
+                    twice: rng.random_range(0..1_000),
                     cut: false,
                 };
-                members.retain(|m| *m != member);
-                members.truncate(chance.random_range(0..=all / 2 - 1));
+                members.retain(|other| *other != member);
+                members.truncate(rng.random_range(0..=member_count / 2 - 1));
                 members.push(member);
-                let after = chance.random_range(TERM / 4..TERM);
-                list.push((
+                let after = rng.random_range(LEASE_DURATION / 4..LEASE_DURATION);
+                faults.push((
                     at + after,
-                    Trouble::Cut {
+                    Fault::Cut {
                         members,
-                        way: Ways::Both,
-                        lasts: 2 * TERM,
+                        way: Direction::Both,
+                        lasts: 2 * LEASE_DURATION,
                     },
                 ));
-                Trouble::SlowOf {
+                Fault::SlowOf {
                     member,
                     path,
-                    lasts: after + TERM,
+                    lasts: after + LEASE_DURATION,
                 }
             }
-            _ => Trouble::Rolling {
-                every: chance.random_range(2_000..12_000),
+            _ => Fault::Rolling {
+                every: rng.random_range(2_000..12_000),
                 back: back.min(8_000),
             },
         };
-        list.push((at, trouble));
+        faults.push((at, fault));
     }
-    list.sort_by_key(|t| t.0);
-    list
+    faults.sort_by_key(|t| t.0);
+    faults
 }
 
-/// What leases cost while nothing happens, and how long a task stands idle where its holder goes.
+/// Network load of the leases without faults, and how long tasks are idle after their holder's end.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Of one member in a second, on the mean and of the one that sends most.
+    /// Datagrams that a member sends per second: the mean over all members, and the greatest of any member.
     pub datagrams: (f64, f64),
+    /// The same for bytes.
     pub bytes: (f64, f64),
-    /// From the start of all until all tasks are held, tenths of a millisecond.
-    pub start: Time,
-    /// Tasks of a member that is killed, and of one that goes in order: until all are held again.
-    pub lost: Time,
-    pub given: Time,
+    /// Time from the start of all members until all leases are held, in tenths of a millisecond.
+    pub after_start: Time,
+    /// Time from the kill of a member until all leases are held by others, in tenths of a millisecond.
+    pub after_kill: Time,
+    /// The same from the beginning of a member's drain.
+    pub after_drain: Time,
 }
 
-/// So many members and leases, with the settings' defaults.
+/// Measures the [`Cost`] of so many members and leases, with production defaults.
 pub fn cost(members: usize, leases: usize) -> Cost {
     let troubles = Some(Vec::new());
     let (channel, wild) = (Some(100_000), Some(false));
@@ -1038,44 +1174,46 @@
         troubles,
         channel,
         wild,
-        usual: true,
+        default_timing: true,
         seconds: 600.0,
         ..Setup::new(1)
     };
     let mut run = Run::new(setup);
-    let until = |run: &mut Run, m: Option<usize>| {
+    let time_until_held = |run: &mut Run, except: Option<usize>| {
         let began = run.now();
         while run.now() < began + 600_000 {
             let next = run.now() + 50;
-            run.until(next);
-            // Killed ones look as if they held what their lease still covers.
-            let held = (0..leases).all(|t| run.holders(t).iter().any(|h| Some(*h) != m));
+            run.run_until(next);
+            // A member that ends still counts as a holder while its lease lasts, so its own leases do not
+            // count.
+            let held =
+                (0..leases).all(|t| run.holders(t).iter().any(|holder| Some(*holder) != except));
             if held {
                 break;
             }
         }
         run.now() - began
     };
-    let start = until(&mut run, None);
-    // Members that settle later take what is theirs.
+    let after_start = time_until_held(&mut run, None);
+    // 30 s for the leases to move to their preferred holders.
     let settle = run.now() + 300_000;
-    run.until(settle);
+    run.run_until(settle);
     let sent = |run: &Run| -> Vec<(u64, u64)> {
         run.processes
             .iter()
-            .map(|p| {
+            .map(|process| {
                 (
-                    p.keeping.counters.datagrams_sent.get(),
-                    p.keeping.counters.bytes_sent.get(),
+                    process.lease_task.counters.datagrams_sent.get(),
+                    process.lease_task.counters.bytes_sent.get(),
                 )
             })
             .collect()
     };
     let before = sent(&run);
     let (span, from) = (100_000, run.now());
-    run.until(from + span);
+    run.run_until(from + span);
     let after = sent(&run);
-    let a_second = |of: fn(&(u64, u64)) -> u64| {
+    let per_second = |of: fn(&(u64, u64)) -> u64| {
         let each: Vec<f64> = after
             .iter()
             .zip(&before)
@@ -1086,20 +1224,21 @@
             each.iter().copied().fold(0.0, f64::max),
         )
     };
-    let (datagrams, bytes) = (a_second(|s| s.0), a_second(|s| s.1));
-    // No keeper: with one of those gone too the times are the same, but the table would have to say which.
-    let (killed, goes) = (members - 1, members - 2);
+    let (datagrams, bytes) = (per_second(|s| s.0), per_second(|s| s.1));
+    // The members with the highest numbers, which are grantors only where there are few members. The end of a
+    // grantor takes as long, but the figures would then have to say which kind of member it was.
+    let (killed, drained) = (members - 1, members - 2);
     run.kill(killed, 200_000);
-    let lost = until(&mut run, Some(killed));
+    let after_kill = time_until_held(&mut run, Some(killed));
     let settle = run.now() + 500_000;
-    run.until(settle);
-    run.leave(goes, 10_000_000);
-    let given = until(&mut run, Some(goes));
+    run.run_until(settle);
+    run.drain(drained, 10_000_000);
+    let after_drain = time_until_held(&mut run, Some(drained));
     Cost {
         datagrams,
         bytes,
-        start,
-        lost,
-        given,
+        after_start,
+        after_kill,
+        after_drain,
     }
 }
--- a/crates/tidewall-sim/src/lib.rs
+++ b/crates/tidewall-sim/src/lib.rs
@@ -1,6 +1,13 @@
-//! Runs of the shipped network code on a virtual clock, each from one seed: `pair` is two gateways behind one address
-//! with a stand-in fleet, `site` three gateways beside each other, troubled as drawn, or a site of a shape that `shape` draws.
-//! The same seed gives the same run, step for step.
+//! Deterministic simulation of the production code on a virtual clock and network. Everything random in a run
+//! is drawn from its seed, so the same seed gives the same run, step for step.
+//!
+//! | module | what it simulates |
+//! | --- | --- |
+//! | `pair` | two gateways behind one address, with emulated workers and clients |
+//! | `site` | three independent gateways with randomly chosen faults, or a site with generated settings |
+//! | `shape` | generator of a site's settings |
+//! | `fleet` | the leases of several gateways |
+//! | `mutate` | lease runs with one message changed |
 pub mod fleet;
 pub mod mutate;
 pub mod pair;
@@ -11,7 +18,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// One run for each seed, a thread for each core; the reports in the order of their seeds.
+/// Calls `run` once for each seed, with one thread per core, and returns the reports in the order of the
+/// seeds.
 pub fn all<R: Send>(seeds: Range<u64>, run: impl Fn(u64) -> R + Sync) -> Vec<R> {
     let (next, reports) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
@@ -25,7 +33,7 @@
                 let report = run(seed);
                 reports
                     .lock()
-                    .expect("no thread panics while it holds this")
+                    .expect("no thread panics while it holds the lock")
                     .push((seed, report));
             });
         }
--- a/crates/tidewall-sim/src/mutate.rs
+++ b/crates/tidewall-sim/src/mutate.rs
@@ -1,6 +1,7 @@
-//! One message changed at a time: a run of the fleet's leases is played again for each of its messages and each mutation,
-//! with everything else the same. Exhaustive on the smallest run; a fixed draw on larger ones with drawn troubles.
-use crate::fleet::{keys, Report, Run, Setup, TERM};
+//! Mutation of single messages: repeats a lease run once for each of its messages and each mutation, with
+//! everything else the same. Exhaustive on the smallest run; a random sample, fixed by the seed, on larger
+//! runs with drawn faults.
+use crate::fleet::{keys, Report, Run, Setup, LEASE_DURATION};
 use minicbor::{Decoder, Encoder};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,21 +12,23 @@
 use tidewall_net::memory::Tapped;
 use tidewall_net::Time;
 
-/// What becomes of one message.
+/// A change to one message. The variants' numbers are a field's index in the message's body, or a position in
+/// percent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutation {
     LeftOut,
     Doubled,
     HeldPastTerm,
-    /// It comes behind what is sent next.
+    /// The message is delayed until after the next one.
     Swapped,
     AgainAtEnd,
     CutShort,
     CutUnderSeal,
-    /// A bit of the datagram, by its place as a part of a hundred.
+    /// The bit at this position, in percent of the message's length, is flipped.
     Flipped(u8),
     FlippedUnderSeal(u8),
-    /// A number of it, by its place: at its least, its greatest, another member's, a former life's.
+    /// The field at this index is set to 0, or to 2^32 - 1 (`Greatest`), 2^64 - 1 (`Largest`), another
+    /// member's number (`Others`), or one less, as of an earlier incarnation (`Former`).
     Least(u8),
     Greatest(u8),
     Largest(u8),
@@ -59,10 +62,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
     NoDifference,
-    /// Acts came at other times, or in another order.
+    /// The record differs: effects came at other times, or in another order.
     Later,
     Refused,
-    /// A task changed hands more often, or had fewer acts.
+    /// Leases changed their holder more often, or had fewer effects, but no rule was broken.
     SafeStop,
     Broken,
 }
@@ -81,7 +84,8 @@
     }
 }
 
-/// A message as a run sent it: what it is, whether a datagram, and how many numbers it has.
+/// A message that a run sent: its kind, whether it is a datagram, and the number of integer fields in its
+/// body.
 #[derive(Clone, Copy, Debug)]
 pub struct Message {
     pub kind: &'static str,
@@ -89,7 +93,7 @@
     pub numbers: usize,
 }
 
-const KINDS: [&str; 13] = [
+const MESSAGE_KINDS: [&str; 13] = [
     "-",
     "ping",
     "ping for",
@@ -105,51 +109,51 @@
     "handed",
 ];
 
-/// The numbers of a datagram's body, head and items.
-fn numbers(body: &[u8]) -> Vec<u64> {
-    let mut d = Decoder::new(body);
-    let mut all = Vec::new();
-    while d.position() < body.len() {
-        let Ok(n) = d.u64() else { break };
-        all.push(n);
+/// The integers of a datagram's body, of its header and of its items.
+fn decode_numbers(body: &[u8]) -> Vec<u64> {
+    let mut decoder = Decoder::new(body);
+    let mut numbers = Vec::new();
+    while decoder.position() < body.len() {
+        let Ok(n) = decoder.u64() else { break };
+        numbers.push(n);
     }
-    all
+    numbers
 }
 
-fn encode(numbers: &[u64]) -> Vec<u8> {
+fn encode_numbers(numbers: &[u64]) -> Vec<u8> {
     let mut out = Vec::new();
-    let mut e = Encoder::new(&mut out);
-    numbers.iter().for_each(|n| drop(e.u64(*n)));
+    let mut encoder = Encoder::new(&mut out);
+    numbers.iter().for_each(|n| drop(encoder.u64(*n)));
     out
 }
 
-/// What of a lease's business it is, before anything that goes along: the highest kind.
-fn kind(body: &[u8]) -> &'static str {
-    let Ok((_, at)) = codec::decode_header(body) else {
-        return KINDS[0];
+/// The kind of a message: the highest kind of its items, as gossip and others may accompany it.
+fn message_kind(body: &[u8]) -> &'static str {
+    let Ok((_, header_len)) = codec::decode_header(body) else {
+        return MESSAGE_KINDS[0];
     };
-    let (mut d, mut highest) = (Decoder::new(&body[at..]), 0);
-    while d.position() < body.len() - at {
-        let Ok(kind) = d.u64() else { break };
-        let len = codec::kind::FIELD_COUNTS
+    let (mut decoder, mut highest) = (Decoder::new(&body[header_len..]), 0);
+    while decoder.position() < body.len() - header_len {
+        let Ok(kind) = decoder.u64() else { break };
+        let field_count = codec::kind::FIELD_COUNTS
             .get(kind as usize)
             .copied()
             .unwrap_or(0);
         if kind as usize != codec::kind::GOSSIP as usize {
             highest = highest.max(kind as usize);
         }
-        if (0..len).any(|_| d.u64().is_err()) {
+        if (0..field_count).any(|_| decoder.u64().is_err()) {
             break;
         }
     }
-    KINDS
+    MESSAGE_KINDS
         .get(highest)
         .copied()
         .filter(|_| highest > 0)
         .unwrap_or("word")
 }
 
-fn message(datagram: bool, from: usize, bytes: &[u8]) -> Message {
+fn classify_message(datagram: bool, from: usize, bytes: &[u8]) -> Message {
     if !datagram {
         let kind = if from % 3 == 2 {
             "to a worker"
@@ -164,22 +168,22 @@
     }
     match codec::open(bytes, &keys()) {
         Ok(body) => Message {
-            kind: kind(body),
+            kind: message_kind(body),
             datagram,
-            numbers: numbers(body).len(),
+            numbers: decode_numbers(body).len(),
         },
         Err(_) => Message {
-            kind: KINDS[0],
+            kind: MESSAGE_KINDS[0],
             datagram,
             numbers: 0,
         },
     }
 }
 
-/// All mutations of that message: each field's, too, where it has fields.
-pub fn mutations(m: &Message) -> Vec<Mutation> {
+/// All mutations that apply to a message; those of its first 60 fields too if it is a datagram.
+pub fn mutations(message: &Message) -> Vec<Mutation> {
     use Mutation::*;
-    let mut all = vec![
+    let mut mutations = vec![
         LeftOut,
         Doubled,
         HeldPastTerm,
@@ -188,14 +192,14 @@
         Flipped(50),
         Flipped(90),
     ];
-    if m.datagram {
-        all.extend([Swapped, AgainAtEnd, CutUnderSeal, ToAnother]);
-        all.extend([5, 30, 60, 95].map(FlippedUnderSeal));
-        for i in 0..m.numbers.min(60) as u8 {
-            all.extend([Least(i), Greatest(i), Largest(i), Others(i), Former(i)]);
+    if message.datagram {
+        mutations.extend([Swapped, AgainAtEnd, CutUnderSeal, ToAnother]);
+        mutations.extend([5, 30, 60, 95].map(FlippedUnderSeal));
+        for i in 0..message.numbers.min(60) as u8 {
+            mutations.extend([Least(i), Greatest(i), Largest(i), Others(i), Former(i)]);
         }
     }
-    all
+    mutations
 }
 
 fn reseal(bytes: &mut Vec<u8>, change: impl FnOnce(&mut Vec<u8>)) {
@@ -208,66 +212,68 @@
     *bytes = body;
 }
 
-fn flip(bytes: &mut [u8], part: u8) {
-    let bit = (bytes.len() * 8 - 1) * usize::from(part) / 100;
+fn flip_bit(bytes: &mut [u8], percent: u8) {
+    let bit = (bytes.len() * 8 - 1) * usize::from(percent) / 100;
     bytes[bit / 8] ^= 1 << (bit % 8);
 }
 
-fn field(bytes: &mut Vec<u8>, place: u8, change: impl FnOnce(u64) -> u64) {
+fn change_field(bytes: &mut Vec<u8>, index: u8, change: impl FnOnce(u64) -> u64) {
     reseal(bytes, |body| {
-        let mut all = numbers(body);
-        if let Some(n) = all.get_mut(usize::from(place)) {
+        let mut numbers = decode_numbers(body);
+        if let Some(n) = numbers.get_mut(usize::from(index)) {
             *n = change(*n);
         }
-        *body = encode(&all);
+        *body = encode_numbers(&numbers);
     });
 }
 
 fn apply(
-    m: Mutation,
+    mutation: Mutation,
     bytes: &mut Vec<u8>,
     (now, end): (Time, Time),
     (to, members): (usize, usize),
 ) -> Tapped {
-    match m {
+    match mutation {
         Mutation::LeftOut => return Tapped::Lose,
         Mutation::Doubled => return Tapped::Twice(3),
-        Mutation::HeldPastTerm => return Tapped::Hold(TERM + TERM / 4),
-        // Longer than between two ticks of whoever sends next.
+        Mutation::HeldPastTerm => return Tapped::Hold(LEASE_DURATION + LEASE_DURATION / 4),
+        // 50 ms are longer than the time between two ticks of the member that sends next.
         Mutation::Swapped => return Tapped::Hold(500),
         Mutation::AgainAtEnd => return Tapped::Twice(end.saturating_sub(now).max(1)),
         Mutation::ToAnother => return Tapped::To((to / 3 + 1) % members * 3 + 1),
         Mutation::CutShort => bytes.truncate(bytes.len() / 2),
         Mutation::CutUnderSeal => reseal(bytes, |body| body.truncate(body.len() - 1)),
-        Mutation::Flipped(part) => flip(bytes, part),
-        Mutation::FlippedUnderSeal(part) => reseal(bytes, |body| flip(body, part)),
-        Mutation::Least(i) => field(bytes, i, |_| 0),
-        Mutation::Greatest(i) => field(bytes, i, |_| u64::from(u32::MAX)),
-        Mutation::Largest(i) => field(bytes, i, |_| u64::MAX),
-        Mutation::Others(i) => field(bytes, i, |n| (n + 1) % members as u64),
-        Mutation::Former(i) => field(bytes, i, |n| n.saturating_sub(1)),
+        Mutation::Flipped(percent) => flip_bit(bytes, percent),
+        Mutation::FlippedUnderSeal(percent) => reseal(bytes, |body| flip_bit(body, percent)),
+        Mutation::Least(i) => change_field(bytes, i, |_| 0),
+        Mutation::Greatest(i) => change_field(bytes, i, |_| u64::from(u32::MAX)),
+        Mutation::Largest(i) => change_field(bytes, i, |_| u64::MAX),
+        Mutation::Others(i) => change_field(bytes, i, |n| (n + 1) % members as u64),
+        Mutation::Former(i) => change_field(bytes, i, |n| n.saturating_sub(1)),
     }
     Tapped::Pass
 }
 
-/// Messages of the run as it is, and what came of it.
+/// Simulates the run unchanged; returns its messages, without those that the event loops send over streams,
+/// and its report.
 pub fn record(setup: &Setup) -> (Vec<Message>, Report) {
-    let seen: Rc<RefCell<Vec<Message>>> = Rc::default();
+    let messages_seen: Rc<RefCell<Vec<Message>>> = Rc::default();
     let mut run = Run::new(setup.clone());
-    let list = seen.clone();
+    let log = messages_seen.clone();
     run.tap(Box::new(move |from, _, datagram, bytes| {
         if from % 3 != 0 || !datagram {
-            list.borrow_mut().push(message(datagram, from, bytes));
+            log.borrow_mut()
+                .push(classify_message(datagram, from, bytes));
         }
         Tapped::Pass
     }));
     let report = run.finish();
-    let messages = seen.borrow().clone();
+    let messages = messages_seen.borrow().clone();
     (messages, report)
 }
 
-/// The run with that one message changed.
-pub fn play(setup: &Setup, at: usize, m: Mutation) -> Report {
+/// Simulates the run with one message changed: the one at this index in the result of [`record`].
+pub fn play(setup: &Setup, index: usize, mutation: Mutation) -> Report {
     let mut run = Run::new(setup.clone());
     let (count, members, world) = (
         Rc::new(RefCell::new(0)),
@@ -280,34 +286,37 @@
             return Tapped::Pass;
         }
         let i = count.replace_with(|c| *c + 1);
-        if i != at {
+        if i != index {
             return Tapped::Pass;
         }
-        // The world is borrowed by whoever sends: its time is that of the last look, near enough for the end.
+        // While the sender has the world borrowed its time cannot be read. 0 does as well: `AgainAtEnd` then
+        // sends the copy again at `now + end`, after the end of the faults.
         let now = world
             .upgrade()
             .and_then(|w| w.try_borrow().ok().map(|w| w.now()))
             .unwrap_or(0);
-        apply(m, bytes, (now, end), (to, members))
+        apply(mutation, bytes, (now, end), (to, members))
     }));
     run.finish()
 }
 
-pub fn outcome(base: &Report, r: &Report) -> Outcome {
-    if !r.breaches.is_empty() {
+/// Compares the report of a run with one message changed with that of the unchanged run.
+pub fn outcome(base: &Report, mutated: &Report) -> Outcome {
+    if !mutated.breaches.is_empty() {
         Outcome::Broken
-    } else if r.changes > base.changes || r.acts + 3 < base.acts {
+    } else if mutated.changes > base.changes || mutated.acts + 3 < base.acts {
         Outcome::SafeStop
-    } else if r.refused > base.refused {
+    } else if mutated.refused > base.refused {
         Outcome::Refused
-    } else if r.record != base.record {
+    } else if mutated.record != base.record {
         Outcome::Later
     } else {
         Outcome::NoDifference
     }
 }
 
-/// How many runs ended how, by kind of message and mutation; and those that broke a rule.
+/// Number of runs by kind of message, mutation and outcome; and the seed, message index, mutation and first
+/// violation of those that broke a rule.
 #[derive(Default)]
 pub struct Table {
     pub runs: usize,
@@ -320,17 +329,20 @@
     fn add(
         &mut self,
         seed: u64,
-        at: usize,
+        index: usize,
         message: &Message,
-        m: Mutation,
+        mutation: Mutation,
         base: &Report,
-        r: &Report,
+        mutated: &Report,
     ) {
-        let came = outcome(base, r);
+        let outcome = outcome(base, mutated);
         self.runs += 1;
-        self.counts.entry((message.kind, m.name())).or_default()[came as usize] += 1;
-        if came == Outcome::Broken {
-            self.broken.push((seed, at, m, r.breaches[0].clone()));
+        self.counts
+            .entry((message.kind, mutation.name()))
+            .or_default()[outcome as usize] += 1;
+        if outcome == Outcome::Broken {
+            self.broken
+                .push((seed, index, mutation, mutated.breaches[0].clone()));
         }
     }
 
@@ -338,14 +350,14 @@
         self.runs += other.runs;
         self.messages += other.messages;
         for (key, counts) in other.counts {
-            let all = self.counts.entry(key).or_default();
-            (0..5).for_each(|i| all[i] += counts[i]);
+            let sums = self.counts.entry(key).or_default();
+            (0..5).for_each(|i| sums[i] += counts[i]);
         }
         self.broken.extend(other.broken);
     }
 }
 
-/// Every message of the smallest run that `part` of `parts` falls to, with every mutation.
+/// Applies every mutation to every message of the run whose index modulo `parts` is `part`.
 pub fn exhaustive(setup: &Setup, part: usize, parts: usize) -> Table {
     let setup = Setup {
         keep: true,
@@ -356,15 +368,22 @@
         messages: if part == 0 { messages.len() } else { 0 },
         ..Table::default()
     };
-    for (at, message) in messages.iter().enumerate().filter(|m| m.0 % parts == part) {
-        for m in mutations(message) {
-            table.add(setup.seed, at, message, m, &base, &play(&setup, at, m));
+    for (index, message) in messages.iter().enumerate().filter(|m| m.0 % parts == part) {
+        for mutation in mutations(message) {
+            table.add(
+                setup.seed,
+                index,
+                message,
+                mutation,
+                &base,
+                &play(&setup, index, mutation),
+            );
         }
     }
     table
 }
 
-/// So many drawn messages and mutations of a run with drawn troubles.
+/// Applies `count` randomly drawn mutations to randomly drawn messages of a run with drawn faults.
 pub fn drawn(setup: &Setup, count: usize) -> Table {
     let setup = Setup {
         keep: true,
@@ -384,18 +403,18 @@
         );
         return table;
     }
-    let mut chance = ChaCha8Rng::seed_from_u64(setup.seed ^ 0x3a7e);
+    let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ 0x3a7e);
     for _ in 0..count {
-        let at = chance.random_range(0..messages.len());
-        let all = mutations(&messages[at]);
-        let m = all[chance.random_range(0..all.len())];
+        let index = rng.random_range(0..messages.len());
+        let all = mutations(&messages[index]);
+        let mutation = all[rng.random_range(0..all.len())];
         table.add(
             setup.seed,
-            at,
-            &messages[at],
-            m,
+            index,
+            &messages[index],
+            mutation,
             &base,
-            &play(&setup, at, m),
+            &play(&setup, index, mutation),
         );
     }
     table
--- a/crates/tidewall-sim/src/pair/mod.rs
+++ b/crates/tidewall-sim/src/pair/mod.rs
@@ -1,22 +1,22 @@
-//! Two gateways behind one address, a fleet of stand-ins, and troubles drawn from the seed; the audit reads what the
-//! stand-ins' ends recorded.
+//! Simulates two gateways behind one address with emulated workers and clients, under faults drawn from the
+//! seed. The audit checks the record of what the emulated workers and clients sent and received.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | `settings` | the settings of members and fleet |
-//! | `trouble` | the troubles, and how they are drawn |
-//! | `stranger` | forged advertisements |
+//! | `settings` | settings of the members, the workers and the clients |
+//! | `fault` | the faults, and how they are drawn |
+//! | `forger` | forged VRRP advertisements |
 //! | `runner` | one run, step by step |
-//! | `shrink` | the smallest run that still fails |
+//! | `shrink` | reduction of a failing run |
+mod fault;
+mod forger;
 mod runner;
 mod settings;
 mod shrink;
-mod stranger;
-mod trouble;
 
+pub use fault::{Fault, TroubleKind};
 pub use runner::Run;
 pub use shrink::shrink;
-pub use trouble::{Trouble, TroubleKind};
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -24,57 +24,58 @@
 use tidewall_failover::role::Role;
 use tidewall_net::Time;
 
-/// How a member may stand: the seat's states, or dead.
+/// Number of states that a member may be in: its failover roles, and dead.
 pub const STANDS: usize = Role::ALL.len() + 1;
 
-/// Which states of both members were met together.
+/// For each combination of the two members' states, whether the run reached it: `[state of a][state of b]`.
 pub type Met = [[bool; STANDS]; STANDS];
 
-/// The name of how a member stands, by its index in [`Met`].
+/// The name of a member's state, by its index in [`Met`].
 pub fn stand(at: usize) -> &'static str {
     Role::ALL.get(at).map_or("dead", |s| s.text())
 }
 
-/// What is left out on purpose, to show that the audit notices.
+/// A safeguard that a run omits on purpose, to show that the audit detects its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Plant {
     #[default]
     Nothing,
-    /// Workers take launches of any epoch, and cut nobody off.
+    /// Workers accept attempts of any epoch, so a superseded member is not fenced.
     NoFences,
-    /// Nothing goes to the other member.
+    /// The active member replicates nothing to the other member.
     NoCopies,
-    /// Voters forget what they promised, so epochs are used again.
+    /// Voters forget their promises, so epochs are granted again.
     Forgets,
 }
 
-/// How a run goes.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What is left out.
+    /// The safeguard that is omitted.
     pub plant: Plant,
     /// How long clients send, in seconds.
     pub seconds: f64,
     /// Requests a second.
     pub rate: f64,
-    /// Drawn from the seed where left out.
-    pub troubles: Option<Vec<(Time, Trouble)>>,
-    /// The same for troubles of the fleet, as a script.
+    /// Faults of the members, each with its time in tenths of a millisecond; None to draw them from the seed.
+    pub troubles: Option<Vec<(Time, Fault)>>,
+    /// Faults of the workers and clients, as a script. None: drawn from the seed if `troubles` is None too,
+    /// and none otherwise.
     pub script: Option<String>,
-    /// One trouble of this kind is drawn, and none of the fleet's.
+    /// Draws a single member fault, of this kind, and no worker faults.
     pub only: Option<TroubleKind>,
-    /// Member b's settings are not those of member a.
+    /// Whether member b's settings differ from member a's.
     pub disagree: bool,
     /// Max age of all request classes, in milliseconds; clients wait for nine tenths of it.
     pub max_age_ms: u64,
-    /// Whether the report holds the record.
+    /// Whether the report contains the record.
     pub keep: bool,
 }
 
 impl Setup {
-    /// Five seconds of 120 requests a second, with troubles drawn from the seed.
+    /// Five seconds of 120 requests a second, with faults drawn from the seed.
     pub fn new(seed: u64) -> Setup {
         Setup {
             seed,
@@ -91,46 +92,47 @@
     }
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The run's seed.
     pub seed: u64,
-    /// Over all that was delivered: equal for equal runs.
+    /// Digest of everything that the network delivered: equal for equal runs.
     pub digest: u64,
-    /// Events and timers that were delivered.
+    /// Network events and timers that were delivered.
     pub steps: u64,
-    /// Requests of the clients.
+    /// Requests that clients sent, each counted once however often it was retried.
     pub events: u64,
     /// Requests that were completed.
     pub handled: u64,
-    /// Requests that were sent again after a connection broke.
+    /// Requests that clients sent again after their connection broke.
     pub asked_again: u64,
-    /// Requests without an answer, while no client could reach a member that serves.
+    /// Requests without a response that are no breach, as no client could reach an active member.
     pub excused: u64,
-    /// How often a member began to serve.
+    /// How often a member became active.
     pub takeovers: u64,
-    /// Attempts that workers refused for their epoch.
+    /// Attempts that workers refused because of their epoch.
     pub refused: u64,
-    /// The share of the requests' worth that was served.
+    /// Benefit of the requests that were handled within their target time, as a fraction of the benefit of
+    /// all requests.
     pub service: f64,
-    /// How long clients could reach no member, in tenths of a millisecond.
+    /// Lengths of the periods in which clients could reach no member, in tenths of a millisecond.
     pub pauses: Vec<Time>,
-    /// By rule: how often the record put it to the test.
+    /// For each rule of the audit, how many cases of the record it applied to.
     pub cases: [u64; 6],
-    /// What broke a rule, a line each.
+    /// The rule violations, one line each.
     pub breaches: Vec<String>,
-    /// The troubles, each with its time in tenths of a millisecond.
-    pub troubles: Vec<(Time, Trouble)>,
-    /// The troubles of the fleet, as a script.
+    /// The members' faults, each with its time in tenths of a millisecond.
+    pub troubles: Vec<(Time, Fault)>,
+    /// The faults of the workers and clients, as a script.
     pub script: String,
-    /// Which states of both members were met together.
+    /// Which combinations of the members' states occurred.
     pub met: Met,
-    /// What the stand-ins' ends recorded, a JSON line each.
+    /// What the emulated workers and clients recorded, one JSON object a line; empty unless `Setup::keep`.
     pub record: Vec<u8>,
 }
 
-/// A record that the run reads when it is over.
+/// A record that the emulator writes and the run reads when it is over.
 #[derive(Clone, Default)]
 pub(crate) struct SharedRecord(pub(crate) Rc<RefCell<Vec<u8>>>);
 
@@ -144,7 +146,7 @@
     }
 }
 
-/// Plays a run to its end.
+/// Simulates a run to its end.
 pub fn run(setup: Setup) -> Report {
     Run::new(setup).finish()
 }
--- a/crates/tidewall-sim/src/pair/runner.rs
+++ b/crates/tidewall-sim/src/pair/runner.rs
@@ -1,8 +1,9 @@
-//! One run: the members, the fleet and a stranger on one simulated network, with their troubles.
+//! One run: the members, the emulated workers and clients, and a forger of advertisements on one simulated
+//! network, with their faults.
+use super::fault::{draw_faults, draw_fleet_script};
+use super::forger::Forger;
 use super::settings::{settings, shared_address, start_member};
-use super::stranger::Stranger;
-use super::trouble::{draw_fleet_script, draw_troubles};
-use super::{Met, Plant, Report, Setup, SharedRecord, Trouble, STANDS};
+use super::{Fault, Met, Plant, Report, Setup, SharedRecord, STANDS};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
@@ -17,23 +18,23 @@
 use tidewall_net::memory::{self, Memory, Path, World};
 use tidewall_net::Time;
 
-/// Mixed into the seed, so that troubles are not drawn by the numbers that the network draws.
-const TROUBLE_SEED: u64 = 0x7a11;
+/// XORed with the run's seed, so that faults are drawn from another random sequence than the network's.
+const FAULT_SEED: u64 = 0x7a11;
 
-/// Quartz is good for some 200 millionths at worst.
-const CLOCK_ERROR_PPM: i64 = 200;
+/// Largest clock drift of a member, in parts per million: that of a poor quartz oscillator.
+const CLOCK_DRIFT_PPM: i64 = 200;
 
-/// A supervisor starts a process again after this.
+/// Delay (50 ms) after which the supervisor restarts a process that exited.
 const RESTART: Time = 500;
 
-/// The run looks at the processes this often.
-const LOOK_INTERVAL: Time = 20;
+/// Interval (2 ms) between two checks of the processes and the due faults.
+const SUPERVISION_INTERVAL: Time = 20;
 
-/// How long a run goes on after its clients' last request: its max age and the grace of its answer, and what the fleet's own
-/// clock still has to do.
-const AFTERMATH: Time = 30_000 + 5_000 + 1_000;
+/// How long a run continues after its clients' last request: 3 s for the request's max age, 0.5 s for its
+/// response, and 0.1 s for the remaining timers of the emulator.
+const SETTLE_TIME: Time = 30_000 + 5_000 + 1_000;
 
-/// The usual delay between members, one way.
+/// The path between the members without a fault, in one direction.
 const USUAL_PATH: Path = Path {
     delay: 2,
     jitter: 0,
@@ -42,109 +43,109 @@
     cut: false,
 };
 
-/// The same, with nothing getting through.
+/// A partition between the members.
 const CUT_PATH: Path = Path {
     cut: true,
     ..USUAL_PATH
 };
 
-/// Where the members hear advertisements.
+/// The addresses at which the members receive advertisements.
 const VRRP_ADDRESSES: [&str; 2] = ["127.0.0.2:112", "127.0.0.3:112"];
 
-/// How a trouble ends.
+/// A scheduled change that ends a fault, or begins the next phase of a flapping link.
 #[derive(Clone, Copy)]
-enum TroubleEnd {
-    /// A member goes on.
+enum FaultEnd {
+    /// A stalled member continues.
     Continue(usize),
-    /// The paths between the members are as usual again.
+    /// The paths between the members become normal again.
     RestorePaths,
-    /// The paths between the members and all others are.
+    /// The paths between the members and all other nodes become normal again.
     RestoreOutsidePaths,
-    /// A link that flaps is cut again.
+    /// The flapping link between the members is cut.
     CutPaths,
 }
 
-/// A run.
+/// A run in progress.
 pub struct Run {
     setup: Setup,
     world: Rc<RefCell<World>>,
-    hands: [Memory; 2],
-    fleet_hand: Memory,
+    member_nets: [Memory; 2],
+    fleet_net: Memory,
     members: [Gateway<Memory>; 2],
     fleet: Fleet<Memory>,
-    stranger: Stranger,
+    forger: Forger,
     record: SharedRecord,
     incarnations: [u64; 2],
-    /// When a member's process starts next.
+    /// When a member's dead process is to be started.
     starts_at: [Option<Time>; 2],
-    /// Told to go, and this long after it is gone it starts again.
-    leaves: [Option<Time>; 2],
+    /// Of a member that was told to drain: how long after its end it restarts.
+    restart_after_drain: [Option<Time>; 2],
     served: [bool; 2],
     takeovers: u64,
-    troubles: Vec<(Time, Trouble)>,
-    /// The position of the next trouble.
-    next_trouble: usize,
+    troubles: Vec<(Time, Fault)>,
+    /// Index of the next fault in `troubles`.
+    next_fault: usize,
     script: String,
-    trouble_ends: Vec<(Time, TroubleEnd)>,
-    /// The member that served stands still, and no other serves yet.
-    stands_still: bool,
+    fault_ends: Vec<(Time, FaultEnd)>,
+    /// The active member was stalled, and no member has been recorded as serving since.
+    service_stalled: bool,
     met: Met,
 }
 
 impl Run {
-    /// A run at its beginning.
+    /// Starts all processes; no step is simulated yet.
     pub fn new(setup: Setup) -> Run {
         let world = memory::world();
         world.borrow_mut().seed(setup.seed);
         world.borrow_mut().moves.push(shared_address());
-        let hands = [Memory::join(&world), Memory::join(&world)];
-        let fleet_hand = Memory::join(&world);
-        let stranger_hand = Memory::join(&world);
-        let mut chance = ChaCha8Rng::seed_from_u64(setup.seed ^ TROUBLE_SEED);
-        for hand in &hands {
-            hand.clock(chance.random_range(-CLOCK_ERROR_PPM..=CLOCK_ERROR_PPM));
+        let member_nets = [Memory::join(&world), Memory::join(&world)];
+        let fleet_net = Memory::join(&world);
+        let forger_net = Memory::join(&world);
+        let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ FAULT_SEED);
+        for net in &member_nets {
+            net.clock(rng.random_range(-CLOCK_DRIFT_PPM..=CLOCK_DRIFT_PPM));
         }
-        let (troubles, script) = troubles_and_script(&setup, &mut chance);
+        let (troubles, script) = faults_and_script(&setup, &mut rng);
         let record = SharedRecord::default();
-        let fleet = start_fleet(&setup, &fleet_hand, &script, &record);
+        let fleet = start_fleet(&setup, &fleet_net, &script, &record);
         let members = [
-            start_member(&hands[0], 0, &setup, 1),
-            start_member(&hands[1], 1, &setup, 1),
+            start_member(&member_nets[0], 0, &setup, 1),
+            start_member(&member_nets[1], 1, &setup, 1),
         ];
         Run {
             setup,
             world,
-            hands,
-            fleet_hand,
+            member_nets,
+            fleet_net,
             members,
             fleet,
-            stranger: Stranger::new(stranger_hand),
+            forger: Forger::new(forger_net),
             record,
             incarnations: [1, 1],
             starts_at: [None, None],
-            leaves: [None, None],
+            restart_after_drain: [None, None],
             served: [false, false],
             takeovers: 0,
             troubles,
-            next_trouble: 0,
+            next_fault: 0,
             script,
-            trouble_ends: Vec::new(),
-            stands_still: false,
+            fault_ends: Vec::new(),
+            service_stalled: false,
             met: Met::default(),
         }
     }
 
-    /// The world's time, in tenths of a millisecond.
+    /// The simulated time, in tenths of a millisecond; the members' own clocks drift from it.
     pub fn now(&self) -> Time {
         self.world.borrow().now()
     }
 
-    /// One thing happens, if any does by then.
+    /// Delivers the next network event or timer, if one is due by `until`; returns whether there was one.
     pub fn step(&mut self, until: Time) -> bool {
         let [first, second] = &mut self.members;
         memory::step(
             &self.world,
-            &mut [first, second, &mut self.fleet, &mut self.stranger],
+            &mut [first, second, &mut self.fleet, &mut self.forger],
             until,
         )
     }
@@ -154,38 +155,38 @@
         &self.members[member]
     }
 
-    /// Whether a member is alive and serves.
+    /// Whether a member is alive and active.
     pub fn serves(&self, member: usize) -> bool {
         let role = self.members[member].role();
-        !self.hands[member].dead() && role.is_some_and(Role::serves)
+        !self.member_nets[member].dead() && role.is_some_and(Role::serves)
     }
 
-    /// Kills a member's process, which starts again after `back`.
+    /// Kills a member's process, which restarts after `back`, or never if that is None.
     pub fn kill(&mut self, member: usize, back: Option<Time>) {
-        self.hands[member].still(false);
-        self.hands[member].kill();
+        self.member_nets[member].still(false);
+        self.member_nets[member].kill();
         self.served[member] = false;
         self.starts_at[member] = back.map(|back| self.now() + back);
-        self.leaves[member] = None;
+        self.restart_after_drain[member] = None;
     }
 
-    /// Plays until a time.
-    pub fn until(&mut self, until: Time) {
+    /// Simulates until a time.
+    pub fn run_until(&mut self, until: Time) {
         while self.now() < until {
-            let next = (self.now() + LOOK_INTERVAL).min(until);
+            let next = (self.now() + SUPERVISION_INTERVAL).min(until);
             while self.step(next) {}
-            self.look();
+            self.supervise();
         }
     }
 
-    /// Plays to the end, and has the record audited.
+    /// Simulates to the end and audits the record.
     pub fn finish(mut self) -> Report {
-        self.until((self.setup.seconds * 10_000.0) as Time + AFTERMATH);
+        self.run_until((self.setup.seconds * 10_000.0) as Time + SETTLE_TIME);
         self.fleet.flush();
         let bytes = self.record.0.borrow().clone();
         let text = std::str::from_utf8(&bytes).expect("JSON is text");
         let lines = text.lines().map(str::to_string);
-        let audit: Audit = tidewall_audit::check(lines).expect("the record is whole");
+        let audit: Audit = tidewall_audit::check(lines).expect("the record is complete");
         let results = self.fleet.results();
         let (digest, steps) = (self.world.borrow().digest(), self.world.borrow().steps);
         Report {
@@ -199,7 +200,7 @@
             takeovers: self.takeovers,
             refused: self.fleet.refused(),
             service: results.service(),
-            // The first one is the start's.
+            // The first outage is the time before a member became active after the start.
             pauses: self.fleet.pauses().get(1..).unwrap_or(&[]).to_vec(),
             cases: std::array::from_fn(|rule| audit.verdicts[rule].cases),
             breaches: breaches(&audit),
@@ -211,24 +212,24 @@
     }
 }
 
-/// The troubles of a run and those of its fleet, as far as they are not drawn.
-fn troubles_and_script(setup: &Setup, chance: &mut ChaCha8Rng) -> (Vec<(Time, Trouble)>, String) {
+/// The member faults and the worker faults of a run: those of the setup, or drawn ones.
+fn faults_and_script(setup: &Setup, rng: &mut ChaCha8Rng) -> (Vec<(Time, Fault)>, String) {
     let span = (setup.seconds * 10_000.0) as Time;
     let troubles = setup
         .troubles
         .clone()
-        .unwrap_or_else(|| draw_troubles(chance, span, setup.only));
+        .unwrap_or_else(|| draw_faults(rng, span, setup.only));
     let script = match (&setup.script, &setup.troubles) {
         (Some(text), _) => text.clone(),
         (None, Some(_)) => String::new(),
         _ if setup.only.is_some() => String::new(),
-        (None, None) => draw_fleet_script(chance),
+        (None, None) => draw_fleet_script(rng),
     };
     (troubles, script)
 }
 
-fn start_fleet(setup: &Setup, hand: &Memory, script: &str, record: &SharedRecord) -> Fleet<Memory> {
-    let script = tidewall_config::script("run", script).expect("the run's script is good");
+fn start_fleet(setup: &Setup, net: &Memory, script: &str, record: &SharedRecord) -> Fleet<Memory> {
+    let script = tidewall_config::script("run", script).expect("the run's script is valid");
     let plan = Plan {
         seed: setup.seed,
         seconds: setup.seconds,
@@ -241,11 +242,11 @@
         task_epochs: true,
         wild_clocks: false,
     };
-    Fleet::new(hand.clone(), &settings(0, setup), Some(&script), plan)
-        .expect("its addresses are free")
+    Fleet::new(net.clone(), &settings(0, setup), Some(&script), plan)
+        .expect("the emulator's addresses are free")
 }
 
-/// What broke a rule, a line each.
+/// The rule violations that the audit found, one line each.
 fn breaches(audit: &Audit) -> Vec<String> {
     let verdicts = audit.verdicts.iter().enumerate();
     let lines = verdicts.flat_map(|(rule, verdict)| {
@@ -255,111 +256,115 @@
     lines.collect()
 }
 
-// Troubles.
+// Faults.
 impl Run {
-    /// Begins a trouble.
-    pub fn trouble(&mut self, trouble: Trouble) {
+    /// Injects a fault.
+    pub fn inject(&mut self, fault: Fault) {
         let now = self.now();
-        match trouble {
-            Trouble::Kill { member, back } => self.kill(member, back),
-            Trouble::KillBoth { back } => {
+        match fault {
+            Fault::Kill { member, back } => self.kill(member, back),
+            Fault::KillBoth { back } => {
                 (0..2).for_each(|member| self.kill(member, Some(back)));
             }
-            Trouble::Pause { member, lasts } => self.pause(member, lasts),
-            Trouble::Cut { from, lasts } => {
+            Fault::Pause { member, lasts } => self.pause(member, lasts),
+            Fault::Cut { from, lasts } => {
                 self.set_paths(from, CUT_PATH);
-                self.trouble_ends
-                    .push((now + lasts, TroubleEnd::RestorePaths));
+                self.fault_ends.push((now + lasts, FaultEnd::RestorePaths));
             }
-            Trouble::Slow { path, lasts } => {
+            Fault::Slow { path, lasts } => {
                 self.set_paths(None, path);
-                self.trouble_ends
-                    .push((now + lasts, TroubleEnd::RestorePaths));
+                self.fault_ends.push((now + lasts, FaultEnd::RestorePaths));
             }
-            Trouble::Outside { path, lasts } => {
+            Fault::Outside { path, lasts } => {
                 self.set_outside_paths(path);
-                self.trouble_ends
-                    .push((now + lasts, TroubleEnd::RestoreOutsidePaths));
+                self.fault_ends
+                    .push((now + lasts, FaultEnd::RestoreOutsidePaths));
             }
-            Trouble::Leave { member, back } => {
-                if !self.hands[member].dead() && self.leaves[member].is_none() {
-                    self.leaves[member] = Some(back);
+            Fault::Leave { member, back } => {
+                if !self.member_nets[member].dead() && self.restart_after_drain[member].is_none() {
+                    self.restart_after_drain[member] = Some(back);
                     self.members[member].drain();
                 }
             }
-            Trouble::Flap { times, every } => self.flap(times, every),
-            Trouble::Forged { member } => {
-                let to: SocketAddr = VRRP_ADDRESSES[member].parse().expect("an address");
-                self.stranger.forge_advertisements(to);
+            Fault::Flap { times, every } => self.flap(times, every),
+            Fault::Forged { member } => {
+                let to: SocketAddr = VRRP_ADDRESSES[member]
+                    .parse()
+                    .expect("the address is valid");
+                self.forger.forge_advertisements(to);
             }
         }
     }
 
     fn pause(&mut self, member: usize, lasts: Time) {
-        if self.hands[member].dead() {
+        if self.member_nets[member].dead() {
             return;
         }
         if self.serves(member) {
             self.add_row(Kind::Still);
-            self.stands_still = true;
+            self.service_stalled = true;
         }
-        self.hands[member].still(true);
-        self.trouble_ends
-            .push((self.now() + lasts, TroubleEnd::Continue(member)));
+        self.member_nets[member].still(true);
+        self.fault_ends
+            .push((self.now() + lasts, FaultEnd::Continue(member)));
     }
 
     fn flap(&mut self, times: u32, every: Time) {
         let now = self.now();
         for i in 0..Time::from(times) {
-            self.trouble_ends
-                .push((now + 2 * i * every, TroubleEnd::CutPaths));
-            self.trouble_ends
-                .push((now + (2 * i + 1) * every, TroubleEnd::RestorePaths));
+            self.fault_ends
+                .push((now + 2 * i * every, FaultEnd::CutPaths));
+            self.fault_ends
+                .push((now + (2 * i + 1) * every, FaultEnd::RestorePaths));
         }
     }
 
-    /// Sets the paths between the members, both or from one of them only.
+    /// Sets the paths between the members in both directions, or only the one from `from`.
     fn set_paths(&mut self, from: Option<usize>, path: Path) {
         let mut world = self.world.borrow_mut();
         for member in (0..2).filter(|member| from.is_none_or(|from| from == *member)) {
-            world.path(&self.hands[member], &self.hands[1 - member], path);
+            world.path(
+                &self.member_nets[member],
+                &self.member_nets[1 - member],
+                path,
+            );
         }
     }
 
-    /// Sets the paths between the members and all others.
+    /// Sets the paths between the members and the emulated workers, clients, voters and discovery server.
     fn set_outside_paths(&mut self, path: Path) {
         let mut world = self.world.borrow_mut();
-        for hand in &self.hands {
-            world.path(hand, &self.fleet_hand, path);
-            world.path(&self.fleet_hand, hand, path);
+        for net in &self.member_nets {
+            world.path(net, &self.fleet_net, path);
+            world.path(&self.fleet_net, net, path);
         }
     }
 
-    fn end_trouble(&mut self, end: TroubleEnd) {
+    fn end_fault(&mut self, end: FaultEnd) {
         match end {
-            TroubleEnd::Continue(member) => self.hands[member].still(false),
-            TroubleEnd::RestorePaths => self.set_paths(None, USUAL_PATH),
-            TroubleEnd::RestoreOutsidePaths => self.set_outside_paths(USUAL_PATH),
-            TroubleEnd::CutPaths => self.set_paths(None, CUT_PATH),
+            FaultEnd::Continue(member) => self.member_nets[member].still(false),
+            FaultEnd::RestorePaths => self.set_paths(None, USUAL_PATH),
+            FaultEnd::RestoreOutsidePaths => self.set_outside_paths(USUAL_PATH),
+            FaultEnd::CutPaths => self.set_paths(None, CUT_PATH),
         }
     }
 }
 
-// The regular look at the processes.
+// Supervision of the processes.
 impl Run {
-    /// What is due by now: troubles, their ends, processes that start.
-    pub fn look(&mut self) {
+    /// Does what is due: begins and ends faults, records takeovers, and restarts processes.
+    pub fn supervise(&mut self) {
         let now = self.now();
-        let is_due = |trouble: &&(Time, Trouble)| trouble.0 <= now;
-        while let Some(&(_, trouble)) = self.troubles.get(self.next_trouble).filter(is_due) {
-            self.next_trouble += 1;
-            self.trouble(trouble);
+        let is_due = |fault: &&(Time, Fault)| fault.0 <= now;
+        while let Some(&(_, fault)) = self.troubles.get(self.next_fault).filter(is_due) {
+            self.next_fault += 1;
+            self.inject(fault);
         }
-        let ends = std::mem::take(&mut self.trouble_ends);
+        let ends = std::mem::take(&mut self.fault_ends);
         let (due, rest): (Vec<_>, Vec<_>) = ends.into_iter().partition(|end| end.0 <= now);
-        self.trouble_ends = rest;
+        self.fault_ends = rest;
         for (_, end) in due {
-            self.end_trouble(end);
+            self.end_fault(end);
         }
         self.note_service_resumed();
         self.note_roles();
@@ -370,20 +375,21 @@
         }
     }
 
-    /// Somebody serves again where the member that served stands still.
+    /// Records that service has resumed after a stall of the active member: one member serves under the
+    /// newest epoch and is not stalled.
     fn note_service_resumed(&mut self) {
         let serves_alone = |member: usize| {
             self.serves(member) && !self.is_paused(member) && self.has_newest_epoch(member)
         };
-        if self.stands_still && (0..2).any(serves_alone) {
-            self.stands_still = false;
+        if self.service_stalled && (0..2).any(serves_alone) {
+            self.service_stalled = false;
             self.add_row(Kind::Going);
         }
     }
 
     fn note_roles(&mut self) {
         let [first, second] = [0, 1].map(|member: usize| {
-            let dead = self.hands[member].dead();
+            let dead = self.member_nets[member].dead();
             let role = self.members[member].role().filter(|_| !dead);
             let position = |role| Role::ALL.iter().position(|other| *other == role);
             role.map_or(STANDS - 1, |role| position(role).unwrap_or(0))
@@ -397,14 +403,14 @@
         self.served[member] = serves;
     }
 
-    /// A process that ended by itself, superseded or told to go, is started again.
+    /// Schedules the restart of a process that exited by itself, because it was superseded or told to drain.
     fn restart_if_ended(&mut self, member: usize) {
-        let ended = self.hands[member].dead() && self.starts_at[member].is_none();
+        let ended = self.member_nets[member].dead() && self.starts_at[member].is_none();
         if !ended || self.is_killed_for_good(member) {
             return;
         }
         let stop_reason = self.members[member].stop_reason();
-        let wait = match (stop_reason, self.leaves[member].take()) {
+        let wait = match (stop_reason, self.restart_after_drain[member].take()) {
             (StopReason::Restart, _) => Some(RESTART),
             (_, back) => back,
         };
@@ -417,30 +423,33 @@
         if self.starts_at[member].is_some_and(|at| at <= self.now()) {
             self.starts_at[member] = None;
             self.incarnations[member] += 1;
-            self.hands[member].restart();
+            self.member_nets[member].restart();
             let incarnation = self.incarnations[member];
             self.members[member] =
-                start_member(&self.hands[member], member, &self.setup, incarnation);
+                start_member(&self.member_nets[member], member, &self.setup, incarnation);
         }
     }
 
-    /// No other serves under a newer epoch.
+    /// Whether the other member does not serve, or serves under an older epoch.
     fn has_newest_epoch(&self, member: usize) -> bool {
         let other = 1 - member;
         !self.serves(other) || self.members[member].epoch() > self.members[other].epoch()
     }
 
     fn is_paused(&self, member: usize) -> bool {
-        let continues = |end: TroubleEnd| matches!(end, TroubleEnd::Continue(of) if of == member);
-        self.trouble_ends.iter().any(|end| continues(end.1))
+        let continues =
+            |end: FaultEnd| matches!(end, FaultEnd::Continue(stalled) if stalled == member);
+        self.fault_ends.iter().any(|end| continues(end.1))
     }
 
-    /// A killed process has not ended itself.
+    /// Whether a dead process was killed: one that drained by itself has an entry in `restart_after_drain`.
     fn is_killed_for_good(&self, member: usize) -> bool {
-        self.members[member].stop_reason() == StopReason::Drained && self.leaves[member].is_none()
+        self.members[member].stop_reason() == StopReason::Drained
+            && self.restart_after_drain[member].is_none()
     }
 
-    /// The record's knowledge of a standstill, as of a kill, comes from whoever causes it.
+    /// Adds a row about a stall to the record: the emulator cannot see it, so the run that causes it records
+    /// it.
     fn add_row(&self, kind: Kind) {
         let row = Row {
             t: self.now(),
--- a/crates/tidewall-sim/src/pair/settings.rs
+++ b/crates/tidewall-sim/src/pair/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of both members and of the fleet, and how a member's process is started with them.
+//! The settings of both members, the workers and the clients, and how a member's process is started with
+//! them.
 use super::{Plant, Setup};
 use std::net::SocketAddr;
 use tidewall_config::Section;
@@ -45,27 +46,27 @@
 }
 "#;
 
-/// The address that moves with the leadership.
+/// The virtual IP address, which moves to the member that becomes active.
 const SHARED_ADDRESS: &str = "127.0.0.1:700";
 
-/// The key of advertisements that both members know.
+/// The key with which both members authenticate advertisements.
 pub(super) const KEY: &[u8] = b"a key of the runs, known to both";
 
-/// The address that moves with the leadership.
+/// [`SHARED_ADDRESS`], parsed.
 pub(super) fn shared_address() -> SocketAddr {
-    SHARED_ADDRESS.parse().expect("it is an address")
+    SHARED_ADDRESS.parse().expect("the address is valid")
 }
 
-/// The settings of this member, with the fleet's.
+/// The settings of this member, the workers and the clients.
 pub(super) fn settings(member: usize, setup: &Setup) -> Section {
-    let part = |m: usize| {
+    let identity = |m: usize| {
         let (name, vrrp, link) = [
             ("a", "127.0.0.2:112", "127.0.0.2:113"),
             ("b", "127.0.0.3:112", "127.0.0.3:113"),
         ][m];
         (name, vrrp, link)
     };
-    let (own, peer) = (part(member), part(1 - member));
+    let (own, peer) = (identity(member), identity(1 - member));
     let text = SETTINGS.replace("OWNPRIORITY", if member == 0 { "200" } else { "100" });
     let text = text
         .replace("OWNVRRP", own.1)
@@ -80,10 +81,10 @@
     let text = text
         .replace("TARGETTIME", &target_time_ms.to_string())
         .replace("MAXAGE", &setup.max_age_ms.to_string());
-    tidewall_config::settings("run", &text).expect("the run's settings are good")
+    tidewall_config::settings("run", &text).expect("the run's settings are valid")
 }
 
-/// Starts the process of a member; `incarnation` counts its starts.
+/// Starts the process of a member; `incarnation` is the number of its starts so far, this one included.
 pub(super) fn start_member(
     net: &Memory,
     member: usize,
@@ -101,13 +102,14 @@
             .shared_settings
             .iter_mut()
             .find(|line| line.starts_with("limits.max_launches"));
-        *line.expect("it is set") = "limits.max_launches = 4".to_string();
+        *line.expect("limits.max_launches is a shared setting") =
+            "limits.max_launches = 4".to_string();
     }
     config.failover = Some(failover);
     let mut gateway = Gateway::new(net.clone(), config, Box::new(NoEndpointCache))
-        .expect("its addresses are free");
+        .expect("the gateway's addresses are free");
     gateway
         .add_ingress(shared_address(), Box::new(NativeIngress::new(0, "g0")))
-        .expect("one of a pair listens later");
+        .expect("a member of a pair listens only once it is active");
     gateway
 }
--- a/crates/tidewall-sim/src/pair/shrink.rs
+++ b/crates/tidewall-sim/src/pair/shrink.rs
@@ -1,15 +1,16 @@
-//! The smallest run that still breaks a rule.
-use super::{run, Report, Setup, Trouble};
+//! Reduces a failing run to a smaller one that still breaks a rule.
+use super::{run, Fault, Report, Setup};
 use tidewall_net::Time;
 
-/// The fewest troubles with which this run still breaks a rule: each is left out in turn, then those of the fleet, then the end
-/// of the run. None where it breaks none.
+/// Reduces the faults of a run that breaks a rule: removes each member fault in turn, then each line of the
+/// script, then the end of the run, and keeps what still breaks a rule, until nothing more can be removed.
+/// None if the run breaks no rule.
 pub fn shrink(setup: &Setup) -> Option<Report> {
     let mut last = run(setup.clone());
     if last.breaches.is_empty() {
         return None;
     }
-    let fails = |troubles: &[(Time, Trouble)], script: &str, seconds: f64| {
+    let fails = |troubles: &[(Time, Fault)], script: &str, seconds: f64| {
         let (troubles, script) = (Some(troubles.to_vec()), Some(script.to_string()));
         let report = run(Setup {
             troubles,
@@ -32,7 +33,7 @@
             let fewer: String = lines.map(|l| format!("{}\n", l.1)).collect();
             last = fails(&last.troubles, &fewer, seconds).unwrap_or(last);
         }
-        // Times of the fleet's troubles are parts of the run: only without them it may be shorter.
+        // A script gives its times as fractions of the run, which a shorter run would move.
         let shorter = (seconds - 0.5).max(1.5);
         if last.script.is_empty() && shorter < seconds {
             if let Some(report) = fails(&last.troubles, "", shorter) {
--- a/crates/tidewall-sim/src/site.rs
+++ b/crates/tidewall-sim/src/site.rs
@@ -1,6 +1,7 @@
-//! A site of three gateways with a stand-in fleet, or one of a drawn shape. Each run draws which kinds of trouble are on at
-//! all, so that rare combinations come up, and then troubles of those kinds; gateways die and keep a last list on a disk that
-//! is full or torn at times.
+//! Simulates a site of three independent gateways with emulated workers and clients, or one with generated
+//! settings. Each run first draws which kinds of fault may occur, so that rare combinations come up, and then
+//! faults of those kinds. Gateways are killed and restarted; they keep their last endpoint list on a disk
+//! that is sometimes full, and whose file is sometimes truncated.
 use crate::pair::{Report, SharedRecord};
 use crate::shape;
 use rand::seq::IndexedRandom;
@@ -49,8 +50,8 @@
 }
 "#;
 
-/// Kinds of trouble: how each is told in a script, with room for how long it lasts.
-const KINDS: [&str; 17] = [
+/// Kinds of fault as lines of a script; `LASTS` stands for the duration.
+const FAULT_KINDS: [&str; 17] = [
     "GATEWAY_KILL lasts_ms: LASTS",
     "GATEWAY_STILL lasts_ms: LASTS",
     "WORKER_KILL lasts_ms: LASTS count: 2",
@@ -70,135 +71,138 @@
     "WORKER_KILL lasts_ms: LASTS count: 5",
 ];
 
-/// What the fleet's faults call for while a step is under way; done right behind it.
+/// What a fault of the emulator's script does to a gateway. The commands of a step are executed right after
+/// it.
 #[derive(Clone, Copy)]
-enum Order {
+enum GatewayCommand {
     Kill(usize),
     Start(usize),
-    Still(usize, bool),
+    Stall(usize, bool),
 }
 
 #[derive(Clone, Default)]
-struct Orders(Rc<RefCell<VecDeque<Order>>>);
+struct GatewayCommands(Rc<RefCell<VecDeque<GatewayCommand>>>);
 
-impl Gateways for Orders {
+impl Gateways for GatewayCommands {
     fn kill(&mut self, gw: usize) {
-        self.0.borrow_mut().push_back(Order::Kill(gw));
+        self.0.borrow_mut().push_back(GatewayCommand::Kill(gw));
     }
     fn start(&mut self, gw: usize) {
-        self.0.borrow_mut().push_back(Order::Start(gw));
+        self.0.borrow_mut().push_back(GatewayCommand::Start(gw));
     }
     fn still(&mut self, gw: usize, on: bool) {
-        self.0.borrow_mut().push_back(Order::Still(gw, on));
+        self.0.borrow_mut().push_back(GatewayCommand::Stall(gw, on));
     }
 }
 
-/// A disk that keeps a gateway's last list across its lives.
+/// A disk that keeps a gateway's last endpoint list across restarts.
 #[derive(Clone, Default)]
-struct Disk(Rc<RefCell<Platter>>);
+struct Disk(Rc<RefCell<DiskState>>);
 
 #[derive(Default)]
-struct Platter {
+struct DiskState {
     bytes: Option<Vec<u8>>,
     full: bool,
-    /// How long ago it was written, by a clock that jumped.
+    /// Age of the file by a clock that has jumped; None for 100 ms.
     age: Option<Time>,
 }
 
 impl EndpointCache for Disk {
     fn read(&mut self) -> std::io::Result<Option<(Vec<u8>, Time)>> {
-        let platter = self.0.borrow();
-        Ok(platter
-            .bytes
-            .clone()
-            .map(|b| (b, platter.age.unwrap_or(1_000))))
+        let disk = self.0.borrow();
+        Ok(disk.bytes.clone().map(|b| (b, disk.age.unwrap_or(1_000))))
     }
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        let mut platter = self.0.borrow_mut();
-        if platter.full {
+        let mut disk = self.0.borrow_mut();
+        if disk.full {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
-        platter.bytes = Some(bytes.to_vec());
+        disk.bytes = Some(bytes.to_vec());
         Ok(())
     }
 }
 
-/// What a script of the fleet's troubles cannot say. Each strikes the gateway that is told, for so long.
+/// Faults of one gateway that a script of the emulator cannot express.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hurt {
-    /// Nothing crosses between it and clients, workers and roster, either way.
+pub enum GatewayFault {
+    /// A partition, in both directions, from the clients, the workers and the discovery server.
     Cut,
-    /// It has no descriptor left.
-    Bare,
-    /// Foreign, hostile and truncated bytes come to its door, in odd pieces.
-    Junk,
-    /// It is killed; its disk was full before, or is found torn, or its clock has jumped by an hour.
-    KillFull,
-    KillTorn,
-    KillAhead,
-    KillBack,
-    /// It is killed, and the record does not say so.
-    KillUntold,
+    /// The process has no file descriptor left.
+    NoDescriptors,
+    /// Clients connect that send truncated messages and random bytes, or reset the connection.
+    MalformedInput,
+    /// The process is killed; its disk is full and contains no list.
+    KillWithFullDisk,
+    /// The process is killed, and its stored list is truncated to one half.
+    KillWithTruncatedFile,
+    /// The process is killed, and its clock jumps ahead by an hour: the stored list looks an hour old.
+    KillWithClockAhead,
+    /// The process is killed, and its clock jumps back: the stored list looks new.
+    KillWithClockBack,
+    /// The process is killed, and the record does not contain it.
+    UnrecordedKill,
 }
 
-/// What is left out on purpose, to show that the audit notices: rule 2, 3, 4, 5. Rule 1: `Hurt::KillUntold`.
+/// A safeguard that a run omits on purpose, to show that the audit detects its absence, by rules 2 to 5 in
+/// this order. Rule 1 is tested by `GatewayFault::UnrecordedKill`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Plant {
+pub enum OmittedSafeguard {
     #[default]
     Nothing,
-    /// The gateways take every event for redeliverable.
-    Repeats,
-    /// They hear neither the roster, once they know the workers, nor a worker that says that it drains.
-    Deaf,
-    /// They take every worker for warm.
-    Warm,
-    /// They order as they like.
-    Orders,
+    /// The gateways treat every request as redeliverable.
+    AllRedeliverable,
+    /// The gateways ignore all endpoint lists but the first, and workers' reports that they drain.
+    DrainsIgnored,
+    /// The gateways apply no slow start: they treat every worker as warm.
+    NoSlowStart,
+    /// The gateways use a load share of 5, so that hardly anything limits their load requests.
+    UnlimitedLoadRequests,
 }
 
-/// How a run goes.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub seed: u64,
-    /// Virtual seconds, and events a second.
+    /// How long clients send, in virtual seconds, and requests a second.
     pub seconds: f64,
     pub rate: f64,
-    /// Drawn from the seed where left out.
+    /// Faults as a script of the emulator; None to draw them from the seed.
     pub script: Option<String>,
-    /// When, whom, how long.
-    pub hurts: Vec<(Time, Hurt, usize, Time)>,
-    pub plant: Plant,
-    /// Whether the report holds the record.
+    /// Start, fault, gateway and duration; times in tenths of a millisecond.
+    pub gateway_faults: Vec<(Time, GatewayFault, usize, Time)>,
+    pub omitted: OmittedSafeguard,
+    /// Whether the report contains the record.
     pub keep: bool,
-    /// Settings are drawn from the seed too; then `rate` is the most that clients send.
+    /// Whether the settings are generated from the seed too; `rate` is then the greatest rate of the clients.
     pub shape: bool,
 }
 
 impl Setup {
-    /// With drawn troubles and nothing left out.
+    /// A run with drawn faults and all safeguards.
     pub fn new(seed: u64, seconds: f64, rate: f64) -> Setup {
-        let (script, hurts) = (None, Vec::new());
+        let (script, gateway_faults) = (None, Vec::new());
         Setup {
             seed,
             seconds,
             rate,
             script,
-            hurts,
-            plant: Plant::Nothing,
+            gateway_faults,
+            omitted: OmittedSafeguard::Nothing,
             keep: false,
             shape: false,
         }
     }
 }
 
-/// A gateway that may be deaf.
-struct Hearing {
+/// A gateway that may be prevented from receiving endpoint lists and drain reports.
+struct FilteredGateway {
     gateway: Gateway<Memory>,
-    deaf: bool,
+    ignores_drains: bool,
+    /// Number of endpoint lists that arrived, counted only if `ignores_drains`.
     lists: usize,
 }
 
-impl App for Hearing {
+impl App for FilteredGateway {
     type Net = Memory;
     fn net(&mut self) -> &mut Memory {
         self.gateway.net()
@@ -210,7 +214,7 @@
         self.gateway.connected(conn);
     }
     fn received(&mut self, conn: Conn, bytes: &[u8]) -> usize {
-        if !self.deaf {
+        if !self.ignores_drains {
             return self.gateway.received(conn, bytes);
         }
         let mut used = 0;
@@ -241,13 +245,13 @@
     }
 }
 
-/// Somebody who does not speak the protocol, or stops in its middle.
-struct Stranger {
+/// A client that sends truncated messages or random bytes.
+struct MalformedClient {
     net: Memory,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
-impl App for Stranger {
+impl App for MalformedClient {
     type Net = Memory;
     fn net(&mut self) -> &mut Memory {
         &mut self.net
@@ -255,21 +259,22 @@
     fn accepted(&mut self, _: Listener, _: Conn, _: SocketAddr) {}
     fn connected(&mut self, conn: Conn) {
         let mut out = Vec::new();
-        if self.chance.random_ratio(2, 3) {
+        if self.rng.random_ratio(2, 3) {
             wire::hello(&mut out, "client", "stranger", 0);
-            let f = wire::Frame::new(&mut out, wire::kind::EVENT).whole(wire::Field::Id, 1);
-            f.text(wire::Field::Type, "check")
+            let frame = wire::Frame::new(&mut out, wire::kind::EVENT).whole(wire::Field::Id, 1);
+            frame
+                .text(wire::Field::Type, "check")
                 .text(wire::Field::Function, "stock-1")
                 .end();
-            let cut = self.chance.random_range(0..=out.len());
+            let cut = self.rng.random_range(0..=out.len());
             out.truncate(cut);
         }
-        if self.chance.random_ratio(2, 3) {
-            let junk = self.chance.random_range(0..200);
-            out.extend((0..junk).map(|_| self.chance.random::<u8>()));
+        if self.rng.random_ratio(2, 3) {
+            let junk_len = self.rng.random_range(0..200);
+            out.extend((0..junk_len).map(|_| self.rng.random::<u8>()));
         }
         self.net.write(conn, &out);
-        if self.chance.random_ratio(1, 2) {
+        if self.rng.random_ratio(1, 2) {
             self.net.reset(conn);
         }
     }
@@ -281,43 +286,65 @@
     fn timer_fired(&mut self, _: u64) {}
 }
 
-fn gateway(s: &Section, net: &Memory, me: usize, seed: u64, disk: &Disk, plant: Plant) -> Hearing {
-    let mut start = gateway_config(s, me, seed);
-    let name = start.name.clone();
-    let mut put = |key: &str, value: &str| {
-        *start.settings.get_mut(key).expect("it is a setting") = value.to_string();
+fn start_gateway(
+    settings: &Section,
+    net: &Memory,
+    index: usize,
+    seed: u64,
+    disk: &Disk,
+    omitted: OmittedSafeguard,
+) -> FilteredGateway {
+    let mut config = gateway_config(settings, index, seed);
+    let name = config.name.clone();
+    let mut set = |key: &str, value: &str| {
+        *config.settings.get_mut(key).expect("the key is a setting") = value.to_string();
     };
-    match plant {
-        Plant::Repeats => (0..3).for_each(|i| put(&format!("classes.{i}.semantics"), "read_like")),
-        Plant::Warm => put("rules.cold-ms", "0"),
-        Plant::Orders => put("extra.load-share", "5"),
-        Plant::Nothing | Plant::Deaf => {}
+    match omitted {
+        OmittedSafeguard::AllRedeliverable => {
+            (0..3).for_each(|i| set(&format!("classes.{i}.semantics"), "read_like"))
+        }
+        OmittedSafeguard::NoSlowStart => set("rules.cold-ms", "0"),
+        OmittedSafeguard::UnlimitedLoadRequests => set("extra.load-share", "5"),
+        OmittedSafeguard::Nothing | OmittedSafeguard::DrainsIgnored => {}
     }
-    let mut gateway =
-        Gateway::new(net.clone(), start, Box::new(disk.clone())).expect("its addresses are free");
-    let at = s.sections("gateway")[me]
+    let mut gateway = Gateway::new(net.clone(), config, Box::new(disk.clone()))
+        .expect("the gateway's addresses are free");
+    let address = settings.sections("gateway")[index]
         .text("address")
         .parse()
-        .expect("checked");
+        .expect("the settings were validated");
     gateway
-        .add_ingress(at, Box::new(NativeIngress::new(0, &name)))
-        .expect("its address is free");
-    Hearing {
+        .add_ingress(address, Box::new(NativeIngress::new(0, &name)))
+        .expect("the gateway's address is free");
+    FilteredGateway {
         gateway,
-        deaf: plant == Plant::Deaf,
+        ignores_drains: omitted == OmittedSafeguard::DrainsIgnored,
         lists: 0,
     }
 }
 
-/// A gateway as shipped, with its door open.
-pub fn plain(s: &Section, net: &Memory, me: usize, seed: u64) -> Gateway<Memory> {
-    gateway(s, net, me, seed, &Disk::default(), Plant::Nothing).gateway
+/// Starts a gateway with all safeguards, an empty disk and an ingress at its address.
+pub fn start_plain_gateway(
+    settings: &Section,
+    net: &Memory,
+    index: usize,
+    seed: u64,
+) -> Gateway<Memory> {
+    start_gateway(
+        settings,
+        net,
+        index,
+        seed,
+        &Disk::default(),
+        OmittedSafeguard::Nothing,
+    )
+    .gateway
 }
 
-/// The run looks at the gateways this often.
-const LOOK: Time = 20;
+/// Interval (2 ms) between two checks of the gateways and the due faults.
+const SUPERVISION_INTERVAL: Time = 20;
 
-/// Events a second and virtual seconds, seed, and the script if it is not to be drawn.
+/// Simulates a run of the three gateways; `script` is None to draw the faults from the seed.
 pub fn run(seed: u64, seconds: f64, rate: f64, script: Option<String>, keep: bool) -> Report {
     play(&Setup {
         script,
@@ -326,113 +353,120 @@
     })
 }
 
+/// Simulates a run to its end and audits its record.
 pub fn play(setup: &Setup) -> Report {
     let Setup {
         seed,
         seconds,
         rate,
-        plant,
+        omitted,
         keep,
         ..
     } = *setup;
     let world: Rc<RefCell<World>> = memory::world();
     world.borrow_mut().seed(seed);
-    let mut chance = ChaCha8Rng::seed_from_u64(seed ^ 0x517e);
-    let drawn = if setup.shape {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x517e);
+    let settings_text = if setup.shape {
         shape::draw(seed, rate)
     } else {
         SETTINGS.replace("RATE", &rate.to_string())
     };
-    let s = tidewall_config::settings("run", &drawn).expect("the run's settings are good");
-    let count = s.sections("gateway").len();
-    let hands: Vec<Memory> = (0..count).map(|_| Memory::join(&world)).collect();
-    let fleet_hand = Memory::join(&world);
-    let stranger_chance = ChaCha8Rng::seed_from_u64(seed ^ 0x57a6);
-    let mut stranger = Stranger {
+    let settings =
+        tidewall_config::settings("run", &settings_text).expect("the run's settings are valid");
+    let count = settings.sections("gateway").len();
+    let gateway_nets: Vec<Memory> = (0..count).map(|_| Memory::join(&world)).collect();
+    let fleet_net = Memory::join(&world);
+    let malformed_client_rng = ChaCha8Rng::seed_from_u64(seed ^ 0x57a6);
+    let mut malformed_client = MalformedClient {
         net: Memory::join(&world),
-        chance: stranger_chance,
+        rng: malformed_client_rng,
     };
-    let uneven = chance.random_ratio(1, 3);
+    let uneven_paths = rng.random_ratio(1, 3);
     let mut path = Path {
         delay: world.borrow().delay,
         ..Path::default()
     };
-    for hand in &hands {
-        hand.clock(chance.random_range(-200..=200));
-        if uneven {
+    for net in &gateway_nets {
+        net.clock(rng.random_range(-200..=200));
+        if uneven_paths {
             path = Path {
-                delay: chance.random_range(2..40),
+                delay: rng.random_range(2..40),
                 jitter: 20,
                 ..Path::default()
             };
-            world.borrow_mut().path(hand, &fleet_hand, path);
-            world.borrow_mut().path(&fleet_hand, hand, path);
+            world.borrow_mut().path(net, &fleet_net, path);
+            world.borrow_mut().path(&fleet_net, net, path);
         }
     }
-    if chance.random_ratio(1, 4) {
-        world.borrow_mut().piece = chance.random_range(1..50);
+    if rng.random_ratio(1, 4) {
+        world.borrow_mut().piece = rng.random_range(1..50);
     }
-    let text = setup.script.clone().unwrap_or_else(|| draw(&mut chance));
-    let parsed = tidewall_config::script("run", &text).expect("the run's script is good");
-    let (record, orders) = (SharedRecord::default(), Orders::default());
+    let script = setup
+        .script
+        .clone()
+        .unwrap_or_else(|| draw_script(&mut rng));
+    let parsed_script = tidewall_config::script("run", &script).expect("the run's script is valid");
+    let (record, commands) = (SharedRecord::default(), GatewayCommands::default());
     let plan = Plan {
         seed,
         seconds,
         clients: true,
         amqp: false,
         record: Box::new(record.clone()),
-        gateways: Box::new(orders.clone()),
+        gateways: Box::new(commands.clone()),
         fences: true,
         forgets: false,
         task_epochs: true,
         wild_clocks: false,
     };
-    let mut fleet =
-        Fleet::new(fleet_hand.clone(), &s, Some(&parsed), plan).expect("its addresses are free");
+    let mut fleet = Fleet::new(fleet_net.clone(), &settings, Some(&parsed_script), plan)
+        .expect("the emulator's addresses are free");
     let disks: Vec<Disk> = (0..count).map(|_| Disk::default()).collect();
-    let mut lives = 0;
-    let mut gateways: Vec<Hearing> = (0..count)
-        .map(|me| {
-            gateway(
-                &s,
-                &hands[me],
-                me,
-                seed * 1_000 + me as u64,
-                &disks[me],
-                plant,
+    let mut restarts = 0;
+    let mut gateways: Vec<FilteredGateway> = (0..count)
+        .map(|gw| {
+            start_gateway(
+                &settings,
+                &gateway_nets[gw],
+                gw,
+                seed * 1_000 + gw as u64,
+                &disks[gw],
+                omitted,
             )
         })
         .collect();
-    // The longest max age, then the fleet's aftermath and one more for what is left over.
-    let age = s
+    // The run continues for the longest max age and 1 s: the emulator's 0.5 s, and as much for what is left
+    // over.
+    let max_age = settings
         .sections("event_type")
         .iter()
         .map(|t| t.duration("max_age_ms"))
         .max()
         .unwrap_or(0);
-    let clients = s.section("fleet").section("clients");
-    let apart = clients
+    let clients = settings.section("fleet").section("clients");
+    let retry_delay = clients
         .duration("wait_ms")
-        .max(s.section("limits").duration("most_come_back_ms"));
-    let tries = (clients.integer("retries") + 1) * (age + apart);
-    // No drawn trouble lasts to here; one of a gateway whose end the fleet was not there to tell ends now.
-    let wake = (seconds * 10_000.0) as Time + 25_000;
+        .max(settings.section("limits").duration("most_come_back_ms"));
+    let all_tries = (clients.integer("retries") + 1) * (max_age + retry_delay);
+    // All drawn faults should be over by this time. A gateway is resumed then if its stall was to end when
+    // the emulator had already stopped.
+    let resume_at = (seconds * 10_000.0) as Time + 25_000;
     let end = if setup.shape {
-        wake + tries
+        resume_at + all_tries
     } else {
-        (seconds * 10_000.0) as Time + age
+        (seconds * 10_000.0) as Time + max_age
     } + 10_000;
-    let mut broken = Vec::new();
-    // Hurts that begin and end, in the order of their times.
-    let mut due: Vec<(Time, bool, Hurt, usize)> = Vec::new();
-    for (at, hurt, gw, lasts) in setup.hurts.iter().copied() {
-        due.extend([(at, true, hurt, gw), (at + lasts, false, hurt, gw)]);
+    let mut breaches = Vec::new();
+    // Begins (true) and ends (false) of the gateways' faults, the latest first.
+    let mut due: Vec<(Time, bool, GatewayFault, usize)> = Vec::new();
+    for (at, fault, gw, lasts) in setup.gateway_faults.iter().copied() {
+        due.extend([(at, true, fault, gw), (at + lasts, false, fault, gw)]);
     }
     due.sort_by_key(|d| std::cmp::Reverse(d.0));
     while world.borrow().now() < end {
-        let until = world.borrow().now() + LOOK;
-        if setup.shape && (wake..wake + LOOK).contains(&until) {
-            hands.iter().for_each(|hand| hand.still(false));
+        let until = world.borrow().now() + SUPERVISION_INTERVAL;
+        if setup.shape && (resume_at..resume_at + SUPERVISION_INTERVAL).contains(&until) {
+            gateway_nets.iter().for_each(|net| net.still(false));
         }
         let until = due
             .last()
@@ -441,103 +475,117 @@
             let mut apps: Vec<&mut dyn App<Net = Memory>> = Vec::with_capacity(count + 2);
             apps.extend(gateways.iter_mut().map(|g| g as &mut dyn App<Net = Memory>));
             apps.push(&mut fleet);
-            apps.push(&mut stranger);
+            apps.push(&mut malformed_client);
             if !memory::step(&world, &mut apps, until) {
                 break;
             }
-            while let Some(order) = orders.0.borrow_mut().pop_front() {
-                match order {
-                    Order::Kill(gw) => {
-                        hands[gw].still(false);
-                        hands[gw].kill();
-                        let mut platter = disks[gw].0.borrow_mut();
-                        platter.full = chance.random_ratio(1, 4);
-                        // A write that a kill cut short.
-                        if let Some(bytes) =
-                            platter.bytes.as_mut().filter(|_| chance.random_ratio(1, 4))
+            while let Some(command) = commands.0.borrow_mut().pop_front() {
+                match command {
+                    GatewayCommand::Kill(gw) => {
+                        gateway_nets[gw].still(false);
+                        gateway_nets[gw].kill();
+                        let mut disk = disks[gw].0.borrow_mut();
+                        disk.full = rng.random_ratio(1, 4);
+                        // The kill may have interrupted a write of the list.
+                        if let Some(bytes) = disk.bytes.as_mut().filter(|_| rng.random_ratio(1, 4))
                         {
-                            bytes.truncate(chance.random_range(0..=bytes.len()));
+                            bytes.truncate(rng.random_range(0..=bytes.len()));
                         }
                     }
-                    Order::Start(gw) => {
-                        lives += 1;
-                        hands[gw].restart();
-                        let seed = seed * 1_000 + 10 * lives + gw as u64;
-                        gateways[gw] = gateway(&s, &hands[gw], gw, seed, &disks[gw], plant);
+                    GatewayCommand::Start(gw) => {
+                        restarts += 1;
+                        gateway_nets[gw].restart();
+                        let seed = seed * 1_000 + 10 * restarts + gw as u64;
+                        gateways[gw] = start_gateway(
+                            &settings,
+                            &gateway_nets[gw],
+                            gw,
+                            seed,
+                            &disks[gw],
+                            omitted,
+                        );
                     }
-                    Order::Still(gw, on) => hands[gw].still(on),
+                    GatewayCommand::Stall(gw, on) => gateway_nets[gw].still(on),
                 }
             }
         }
-        while let Some((_, begins, hurt, gw)) = due.pop_if(|d| d.0 <= world.borrow().now()) {
-            match hurt {
-                Hurt::Cut => {
+        while let Some((_, begins, fault, gw)) = due.pop_if(|d| d.0 <= world.borrow().now()) {
+            match fault {
+                GatewayFault::Cut => {
                     fleet.apart(gw, begins);
                     let cut = Path {
                         cut: begins,
                         ..path
                     };
-                    world.borrow_mut().path(&hands[gw], &fleet_hand, cut);
-                    world.borrow_mut().path(&fleet_hand, &hands[gw], cut);
+                    world.borrow_mut().path(&gateway_nets[gw], &fleet_net, cut);
+                    world.borrow_mut().path(&fleet_net, &gateway_nets[gw], cut);
                 }
-                Hurt::Bare => hands[gw].bare(begins),
-                Hurt::Junk if begins => {
-                    let at = s.sections("gateway")[gw]
+                GatewayFault::NoDescriptors => gateway_nets[gw].bare(begins),
+                GatewayFault::MalformedInput if begins => {
+                    let address = settings.sections("gateway")[gw]
                         .text("address")
                         .parse()
-                        .expect("checked");
+                        .expect("the settings were validated");
                     for _ in 0..20 {
-                        stranger.net.connect(at, 10_000);
+                        malformed_client.net.connect(address, 10_000);
                     }
                 }
-                Hurt::Junk => {}
+                GatewayFault::MalformedInput => {}
                 _ if begins => {
-                    if hurt != Hurt::KillUntold {
+                    if fault != GatewayFault::UnrecordedKill {
                         fleet.killed(gw, true);
                     }
-                    hands[gw].kill();
-                    let mut platter = disks[gw].0.borrow_mut();
-                    match hurt {
-                        Hurt::KillFull => (platter.full, platter.bytes) = (true, None),
-                        Hurt::KillTorn => platter
-                            .bytes
-                            .iter_mut()
-                            .for_each(|b| b.truncate(b.len() / 2)),
-                        Hurt::KillAhead => platter.age = Some(36_000_000),
-                        _ => platter.age = Some(0),
+                    gateway_nets[gw].kill();
+                    let mut disk = disks[gw].0.borrow_mut();
+                    match fault {
+                        GatewayFault::KillWithFullDisk => (disk.full, disk.bytes) = (true, None),
+                        GatewayFault::KillWithTruncatedFile => {
+                            disk.bytes.iter_mut().for_each(|b| b.truncate(b.len() / 2))
+                        }
+                        GatewayFault::KillWithClockAhead => disk.age = Some(36_000_000),
+                        _ => disk.age = Some(0),
                     }
                 }
                 _ => {
-                    lives += 1;
-                    if hurt != Hurt::KillUntold {
+                    restarts += 1;
+                    if fault != GatewayFault::UnrecordedKill {
                         fleet.killed(gw, false);
                     }
-                    hands[gw].restart();
-                    let seed = seed * 1_000 + 10 * lives + gw as u64;
-                    gateways[gw] = gateway(&s, &hands[gw], gw, seed, &disks[gw], plant);
+                    gateway_nets[gw].restart();
+                    let seed = seed * 1_000 + 10 * restarts + gw as u64;
+                    gateways[gw] =
+                        start_gateway(&settings, &gateway_nets[gw], gw, seed, &disks[gw], omitted);
                 }
             }
         }
-        for (gw, Hearing { gateway: g, .. }) in gateways.iter().enumerate() {
-            let c = g.counters();
-            let over = c.completed + c.rejected + c.failed + c.abandoned + c.expired;
-            // Every event is in hand or over, and over once.
-            if c.admitted != over + g.requests_in_flight() as u64 && broken.len() < 3 {
-                broken.push(format!(
-                    "gateway {gw}: {} taken, {over} over, {} held",
-                    c.admitted,
-                    g.requests_in_flight()
+        for (gw, FilteredGateway { gateway, .. }) in gateways.iter().enumerate() {
+            let counters = gateway.counters();
+            let finished = counters.completed
+                + counters.rejected
+                + counters.failed
+                + counters.abandoned
+                + counters.expired;
+            // Every admitted request is either in flight or has finished exactly once.
+            if counters.admitted != finished + gateway.requests_in_flight() as u64
+                && breaches.len() < 3
+            {
+                breaches.push(format!(
+                    "gateway {gw}: {} taken, {finished} over, {} held",
+                    counters.admitted,
+                    gateway.requests_in_flight()
                 ));
             }
         }
     }
-    for (gw, Hearing { gateway: g, .. }) in
-        gateways.iter().enumerate().filter(|g| !hands[g.0].dead())
+    for (gw, FilteredGateway { gateway, .. }) in gateways
+        .iter()
+        .enumerate()
+        .filter(|g| !gateway_nets[g.0].dead())
     {
-        if g.requests_in_flight() > 0 {
-            broken.push(format!(
+        if gateway.requests_in_flight() > 0 {
+            breaches.push(format!(
                 "gateway {gw}: {} events are held for ever",
-                g.requests_in_flight()
+                gateway.requests_in_flight()
             ));
         }
     }
@@ -547,9 +595,9 @@
         .expect("JSON is text")
         .lines()
         .map(str::to_string);
-    let audit = tidewall_audit::check(lines).expect("the record is whole");
+    let audit = tidewall_audit::check(lines).expect("the record is complete");
     let rules = audit.verdicts.iter().enumerate();
-    broken.extend(rules.flat_map(|(i, v)| {
+    breaches.extend(rules.flat_map(|(i, v)| {
         v.breaches
             .iter()
             .map(move |b| format!("rule {}: {b}", i + 1))
@@ -564,36 +612,41 @@
         handled: results.handled,
         asked_again: 0,
         excused: 0,
-        takeovers: lives,
+        takeovers: restarts,
         refused: 0,
         service: results.service(),
         pauses: Vec::new(),
         cases: std::array::from_fn(|i| audit.verdicts[i].cases),
-        breaches: broken,
+        breaches,
         troubles: Vec::new(),
-        script: if setup.shape { drawn + &text } else { text },
+        script: if setup.shape {
+            settings_text + &script
+        } else {
+            script
+        },
         met: Default::default(),
         record: if keep { bytes } else { Vec::new() },
     }
 }
 
-/// Some kinds are on, about half of them; two to seven troubles of those.
-fn draw(chance: &mut ChaCha8Rng) -> String {
-    let on: Vec<&str> = KINDS
+/// Draws a script: each kind of fault is enabled with probability one half, then two to seven faults of the
+/// enabled kinds.
+fn draw_script(rng: &mut ChaCha8Rng) -> String {
+    let enabled: Vec<&str> = FAULT_KINDS
         .into_iter()
-        .filter(|_| chance.random_ratio(1, 2))
+        .filter(|_| rng.random_ratio(1, 2))
         .collect();
-    let mut list: Vec<(f64, String)> = Vec::new();
-    for _ in 0..chance.random_range(2..=7) {
-        let Some(kind) = on.choose(chance) else { break };
-        let lasts = chance.random_range(100..2_500).to_string();
-        list.push((
-            chance.random_range(0.15..0.8),
-            kind.replace("LASTS", &lasts),
-        ));
+    let mut faults: Vec<(f64, String)> = Vec::new();
+    for _ in 0..rng.random_range(2..=7) {
+        let Some(kind) = enabled.choose(rng) else {
+            break;
+        };
+        let lasts = rng.random_range(100..2_500).to_string();
+        faults.push((rng.random_range(0.15..0.8), kind.replace("LASTS", &lasts)));
     }
-    list.sort_by(|a, b| a.0.total_cmp(&b.0));
-    list.iter()
+    faults.sort_by(|a, b| a.0.total_cmp(&b.0));
+    faults
+        .iter()
         .map(|(at, kind)| format!("fault {{ trouble: {kind} at: {at:.3} }}\n"))
         .collect()
 }
--- a/crates/tidewall-sim/tests/fleet.rs
+++ b/crates/tidewall-sim/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Leases of several gateways on the virtual clock: the same every time, kept by the rules, and each guard that is left out is
 //! noticed; one message changed at a time; what it costs.
 use test_case::test_case;
-use tidewall_sim::fleet::{cost, run, shrink, Plant, Setup, Trouble};
+use tidewall_sim::fleet::{cost, run, shrink, Fault, Plant, Setup};
 use tidewall_sim::mutate::{self, Outcome};
 
 #[test]
@@ -72,7 +72,7 @@
     };
     let troubles = vec![(
         30_000,
-        Trouble::SlowOf {
+        Fault::SlowOf {
             member: 4,
             path,
             lasts: 300_000,
@@ -141,7 +141,7 @@
     assert!(c.datagrams.1 < 60.0 && c.bytes.1 < 10_000.0, "{c:?}");
     // One that goes in order leaves its tasks idle for some round trips, one that is lost for a term.
     assert!(
-        c.given < 5_000 && c.lost < 120_000 && c.given < c.lost,
+        c.after_drain < 5_000 && c.after_kill < 120_000 && c.after_drain < c.after_kill,
         "{c:?}"
     );
 }
@@ -151,7 +151,7 @@
 #[test]
 fn a_loss_is_soon_known_to_those_that_are_no_keepers() {
     let c = cost(30, 300);
-    assert!(c.lost < 100_000, "{c:?}");
+    assert!(c.after_kill < 100_000, "{c:?}");
 }
 
 /// Takes minutes: `cargo test --release -p tidewall-sim --test fleet -- --ignored --nocapture`.
@@ -167,9 +167,9 @@
                 c.datagrams.1,
                 c.bytes.0,
                 c.bytes.1,
-                c.start as f64 / 1e4,
-                c.lost as f64 / 1e4,
-                c.given as f64 / 1e4
+                c.after_start as f64 / 1e4,
+                c.after_kill as f64 / 1e4,
+                c.after_drain as f64 / 1e4
             );
         }
     }
--- a/crates/tidewall-sim/tests/late_repeats.rs
+++ b/crates/tidewall-sim/tests/late_repeats.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 use tidewall_net::memory::Path;
 use tidewall_net::Time;
-use tidewall_sim::pair::{run, Setup, Trouble};
+use tidewall_sim::pair::{run, Fault, Setup};
 
 const MILLISECOND: Time = 10;
 
@@ -17,19 +17,19 @@
 const SEEDS: u64 = 3;
 
 /// `outside_ms` is one way between the members and all others.
-fn troubles(after_ms: Time, stands_still_ms: Time, outside_ms: Time) -> Vec<(Time, Trouble)> {
-    let slow = Trouble::Outside {
+fn troubles(after_ms: Time, stands_still_ms: Time, outside_ms: Time) -> Vec<(Time, Fault)> {
+    let slow = Fault::Outside {
         path: Path {
             delay: outside_ms * MILLISECOND,
             ..Path::default()
         },
         lasts: 10_000 * MILLISECOND,
     };
-    let killed = Trouble::Kill {
+    let killed = Fault::Kill {
         member: 0,
         back: None,
     };
-    let stands_still = Trouble::Pause {
+    let stands_still = Fault::Pause {
         member: 1,
         lasts: stands_still_ms * MILLISECOND,
     };
--- a/crates/tidewall-sim/tests/little_time_left.rs
+++ b/crates/tidewall-sim/tests/little_time_left.rs
@@ -5,7 +5,7 @@
 use tidewall_audit::rows::{Kind, Row};
 use tidewall_net::memory::Path;
 use tidewall_net::Time;
-use tidewall_sim::pair::{run, Setup, Trouble};
+use tidewall_sim::pair::{run, Fault, Setup};
 
 const MILLISECOND: Time = 10;
 
@@ -42,38 +42,38 @@
 }
 
 /// The link between the members hangs.
-const LINK_HANGS: Trouble = Trouble::Cut {
+const LINK_HANGS: Fault = Fault::Cut {
     from: None,
     lasts: HANG,
 };
 
 /// The member that serves stands still.
-const STANDS_STILL: Trouble = Trouble::Pause {
+const STANDS_STILL: Fault = Fault::Pause {
     member: SERVING,
     lasts: HANG,
 };
 
 /// The member that serves is killed, and starts again.
-const KILLED: Trouble = Trouble::Kill {
+const KILLED: Fault = Fault::Kill {
     member: SERVING,
     back: Some(RESTART),
 };
 
 /// The member that serves hands over and ends.
-const HANDS_OVER: Trouble = Trouble::Leave {
+const HANDS_OVER: Fault = Fault::Leave {
     member: SERVING,
     back: RESTART,
 };
 
 /// Delays are those of one way: between the members, and between them and clients, workers and voters. `trouble` begins a second
 /// after the paths have become slow.
-fn setup(link_ms: Time, outside_ms: Time, trouble: Option<Trouble>, max_age_ms: u64) -> Setup {
+fn setup(link_ms: Time, outside_ms: Time, trouble: Option<Fault>, max_age_ms: u64) -> Setup {
     let lasts = 10_000 * MILLISECOND;
-    let link = Trouble::Slow {
+    let link = Fault::Slow {
         path: slow_by(link_ms),
         lasts,
     };
-    let outside = Trouble::Outside {
+    let outside = Fault::Outside {
         path: slow_by(outside_ms),
         lasts,
     };
@@ -101,7 +101,7 @@
 fn a_response_waits_no_longer_than_its_client(
     link_ms: Time,
     outside_ms: Time,
-    trouble: Option<Trouble>,
+    trouble: Option<Fault>,
 ) {
     for max_age_ms in MAX_AGES_MS {
         let report = run(setup(link_ms, outside_ms, trouble, max_age_ms));
--- a/crates/tidewall-sim/tests/pair.rs
+++ b/crates/tidewall-sim/tests/pair.rs
@@ -6,28 +6,28 @@
 use tidewall_net::memory::Path;
 use tidewall_net::Time;
 use tidewall_sim::all;
-use tidewall_sim::pair::{run, shrink, Plant, Report, Setup, Trouble};
+use tidewall_sim::pair::{run, shrink, Fault, Plant, Report, Setup};
 
 const MS: Time = 10;
 
 /// The RFC's Active_Down_Interval of member b: three intervals of 100 ms and the skew of priority 100.
 const DOWN: Time = 3 * 1_000 + 609;
 
-#[test_case(vec![Trouble::Cut { from: None, lasts: 10_000 }], 2 ; "both may believe that they are master after packet loss")]
-#[test_case(vec![Trouble::Cut { from: Some(0), lasts: 15_000 }], 2 ; "one-way loss from the master")]
-#[test_case(vec![Trouble::Cut { from: Some(1), lasts: 15_000 }], 2 ; "one-way loss to the master")]
-#[test_case(vec![Trouble::Kill { member: 0, back: Some(250 * MS) }], 3 ; "a master that comes back during takeover")]
-#[test_case(vec![Trouble::Pause { member: 0, lasts: 2 * DOWN }], 3 ; "a master that wakes after twice the down interval and goes on writing")]
-#[test_case(vec![Trouble::Slow { path: Path { delay: 600, jitter: 100, ..Path::default() }, lasts: 20_000 }], 2 ; "the link slower than the workers")]
-#[test_case(vec![Trouble::KillBoth { back: 500 * MS }], 3 ; "both restart at once")]
-#[test_case(vec![Trouble::Flap { times: 5, every: 2_500 }], 3 ; "flapping every half second is damped")]
-#[test_case(vec![Trouble::Kill { member: 0, back: None }], 2 ; "the master dies and stays dead")]
-#[test_case(vec![Trouble::Kill { member: 1, back: Some(10_000) }], 1 ; "the backup dies and comes back")]
-#[test_case(vec![Trouble::Leave { member: 0, back: 8_000 }], 3 ; "handed over on drain and taken back")]
-#[test_case(vec![Trouble::Pause { member: 1, lasts: 2 * DOWN }], 1 ; "a backup that wakes takes nothing over")]
-fn no_rule_is_broken_and_one_member_serves(troubles: Vec<Trouble>, most_takeovers: u64) {
+#[test_case(vec![Fault::Cut { from: None, lasts: 10_000 }], 2 ; "both may believe that they are master after packet loss")]
+#[test_case(vec![Fault::Cut { from: Some(0), lasts: 15_000 }], 2 ; "one-way loss from the master")]
+#[test_case(vec![Fault::Cut { from: Some(1), lasts: 15_000 }], 2 ; "one-way loss to the master")]
+#[test_case(vec![Fault::Kill { member: 0, back: Some(250 * MS) }], 3 ; "a master that comes back during takeover")]
+#[test_case(vec![Fault::Pause { member: 0, lasts: 2 * DOWN }], 3 ; "a master that wakes after twice the down interval and goes on writing")]
+#[test_case(vec![Fault::Slow { path: Path { delay: 600, jitter: 100, ..Path::default() }, lasts: 20_000 }], 2 ; "the link slower than the workers")]
+#[test_case(vec![Fault::KillBoth { back: 500 * MS }], 3 ; "both restart at once")]
+#[test_case(vec![Fault::Flap { times: 5, every: 2_500 }], 3 ; "flapping every half second is damped")]
+#[test_case(vec![Fault::Kill { member: 0, back: None }], 2 ; "the master dies and stays dead")]
+#[test_case(vec![Fault::Kill { member: 1, back: Some(10_000) }], 1 ; "the backup dies and comes back")]
+#[test_case(vec![Fault::Leave { member: 0, back: 8_000 }], 3 ; "handed over on drain and taken back")]
+#[test_case(vec![Fault::Pause { member: 1, lasts: 2 * DOWN }], 1 ; "a backup that wakes takes nothing over")]
+fn no_rule_is_broken_and_one_member_serves(troubles: Vec<Fault>, most_takeovers: u64) {
     let mut run = troubled(7, troubles, 4.0);
-    run.until(38_000);
+    run.run_until(38_000);
     assert_eq!(
         (0..2).filter(|m| run.serves(*m)).count(),
         1,
@@ -49,7 +49,7 @@
 /// Steps on until the master is in a moment of interest, and kills it there for good.
 fn killed_when(seed: u64, moment: impl Fn(&tidewall_sim::pair::Run) -> bool) -> Report {
     let mut run = troubled(seed, Vec::new(), 3.0);
-    run.until(15_000 + seed * 37);
+    run.run_until(15_000 + seed * 37);
     assert!(run.serves(0));
     while !moment(&run) {
         assert!(run.step(25_000), "the moment comes");
@@ -100,9 +100,9 @@
 
 #[test]
 fn forged_and_replayed_advertisements_are_counted_and_ignored() {
-    let troubles = vec![Trouble::Forged { member: 0 }, Trouble::Forged { member: 1 }];
+    let troubles = vec![Fault::Forged { member: 0 }, Fault::Forged { member: 1 }];
     let mut run = troubled(3, troubles, 3.0);
-    run.until(24_000);
+    run.run_until(24_000);
     assert_eq!(
         [
             run.member(0).rejected_advertisements(),
@@ -138,12 +138,12 @@
         ..Setup::new(3)
     };
     let mut run = tidewall_sim::pair::Run::new(setup);
-    run.until(20_000);
+    run.run_until(20_000);
     assert!(run.serves(0) && !run.serves(1));
     let told = run.member(1).settings_mismatch().expect("it says which");
     assert_eq!(told, "limits.max_launches = 4");
     run.kill(0, None);
-    run.until(40_000);
+    run.run_until(40_000);
     assert!(!run.serves(1));
 }
 
@@ -151,18 +151,18 @@
 fn a_backup_that_was_down_for_a_minute_follows_again_while_events_flow() {
     let mut run = troubled(
         5,
-        vec![Trouble::Kill {
+        vec![Fault::Kill {
             member: 1,
             back: Some(600_000),
         }],
         64.0,
     );
-    run.until(619_000);
+    run.run_until(619_000);
     assert_eq!(run.member(0).role().map(|s| s.text()), Some("solo"));
-    run.until(625_000);
+    run.run_until(625_000);
     assert_eq!(run.member(0).role().map(|s| s.text()), Some("paired"));
     run.kill(0, None);
-    run.until(640_000);
+    run.run_until(640_000);
     assert!(run.serves(1));
     let report = run.finish();
     assert_eq!(report.breaches, Vec::<String>::new());
@@ -217,7 +217,7 @@
 fn killed_at_any_step(part: usize) {
     for at in 0..60 {
         let mut run = troubled(31, Vec::new(), 2.0);
-        run.until(15_000);
+        run.run_until(15_000);
         for _ in 0..part * 180 + at * 3 {
             run.step(30_000);
         }
--- a/crates/tidewall-sim/tests/site.rs
+++ b/crates/tidewall-sim/tests/site.rs
@@ -2,12 +2,12 @@
 //! a rule.
 use test_case::test_case;
 use tidewall_sim::all;
-use tidewall_sim::site::{play, run, Plant, Setup};
+use tidewall_sim::site::{play, run, OmittedSafeguard, Setup};
 
 /// A site whose settings are drawn from the seed too.
-fn shape(seed: u64, plant: Plant) -> Setup {
+fn shape(seed: u64, omitted: OmittedSafeguard) -> Setup {
     Setup {
-        plant,
+        omitted,
         shape: true,
         ..Setup::new(seed, 5.0, 60.0)
     }
@@ -53,7 +53,7 @@
 /// Settings far beyond any deployment: one to twelve gateways, one to thirty workers, target times of 30 ms to half a minute.
 #[test]
 fn drawn_shapes_break_no_rule() {
-    let reports = all(0..60, |seed| play(&shape(seed, Plant::Nothing)));
+    let reports = all(0..60, |seed| play(&shape(seed, OmittedSafeguard::Nothing)));
     let broken: Vec<_> = reports.iter().filter(|r| !r.breaches.is_empty()).collect();
     assert!(
         broken.is_empty(),
@@ -71,13 +71,13 @@
 }
 
 /// What is left out on purpose breaks its rule in one of the shapes.
-#[test_case(2, Plant::Repeats; "every event counts as redeliverable")]
-#[test_case(3, Plant::Deaf; "drains are not heard")]
-#[test_case(4, Plant::Warm; "cold workers count as warm")]
-#[test_case(5, Plant::Orders; "orders are not rationed")]
-fn a_planted_fault_is_found_in_some_shape(rule: usize, plant: Plant) {
+#[test_case(2, OmittedSafeguard::AllRedeliverable; "every event counts as redeliverable")]
+#[test_case(3, OmittedSafeguard::DrainsIgnored; "drains are not heard")]
+#[test_case(4, OmittedSafeguard::NoSlowStart; "cold workers count as warm")]
+#[test_case(5, OmittedSafeguard::UnlimitedLoadRequests; "orders are not rationed")]
+fn a_planted_fault_is_found_in_some_shape(rule: usize, omitted: OmittedSafeguard) {
     let text = format!("rule {rule}:");
-    let found = all(30..56, |seed| play(&shape(seed, plant)));
+    let found = all(30..56, |seed| play(&shape(seed, omitted)));
     assert!(found
         .iter()
         .any(|r| r.breaches.iter().any(|b| b.starts_with(&text))));
--- a/crates/tidewall-sim/tests/table.rs
+++ b/crates/tidewall-sim/tests/table.rs
@@ -6,8 +6,8 @@
 use tidewall_audit::rows::{Kind, Row, TRIES};
 use tidewall_net::memory::Path;
 use tidewall_net::Time;
-use tidewall_sim::pair::{self, Trouble};
-use tidewall_sim::site::{play, Hurt, Plant, Setup};
+use tidewall_sim::pair;
+use tidewall_sim::site::{play, GatewayFault, OmittedSafeguard, Setup};
 
 const SECONDS: f64 = 3.0;
 
@@ -68,8 +68,8 @@
         seconds: SECONDS,
         rate: 200.0,
         script,
-        hurts: Vec::new(),
-        plant: Plant::Nothing,
+        gateway_faults: Vec::new(),
+        omitted: OmittedSafeguard::Nothing,
         keep: false,
         shape: false,
     }
@@ -172,24 +172,24 @@
         _ => base.to_string(),
     };
     let hurt = match fault {
-        Fault::Killed => Some((Hurt::KillBack, 300)),
-        Fault::Cut => Some((Hurt::Cut, 600)),
-        Fault::Malformed => Some((Hurt::Junk, 0)),
-        Fault::DiskFull => Some((Hurt::KillFull, 200)),
-        Fault::DiskTorn => Some((Hurt::KillTorn, 200)),
-        Fault::NoDescriptors => Some((Hurt::Bare, 1_500)),
-        Fault::ClockAhead => Some((Hurt::KillAhead, 200)),
-        Fault::ClockBack => Some((Hurt::KillBack, 200)),
-        Fault::GatewayGone => Some((Hurt::KillBack, 60_000)),
+        Fault::Killed => Some((GatewayFault::KillWithClockBack, 300)),
+        Fault::Cut => Some((GatewayFault::Cut, 600)),
+        Fault::Malformed => Some((GatewayFault::MalformedInput, 0)),
+        Fault::DiskFull => Some((GatewayFault::KillWithFullDisk, 200)),
+        Fault::DiskTorn => Some((GatewayFault::KillWithTruncatedFile, 200)),
+        Fault::NoDescriptors => Some((GatewayFault::NoDescriptors, 1_500)),
+        Fault::ClockAhead => Some((GatewayFault::KillWithClockAhead, 200)),
+        Fault::ClockBack => Some((GatewayFault::KillWithClockBack, 200)),
+        Fault::GatewayGone => Some((GatewayFault::KillWithClockBack, 60_000)),
         _ => None,
     };
-    let hurts = hurt
+    let gateway_faults = hurt
         .map(|(hurt, ms)| (at, hurt, gw, ms * 10))
         .into_iter()
         .collect();
     Setup {
         script: Some(script),
-        hurts,
+        gateway_faults,
         ..setup()
     }
 }
@@ -209,11 +209,11 @@
     for (at, gw) in moments(stage) {
         let setup = strike(fault, at, gw, base);
         // A script is held against the run without it, what it cannot say against the same script alone.
-        let unstruck = match setup.hurts.is_empty() {
+        let unstruck = match setup.gateway_faults.is_empty() {
             true => plain(base),
             false => {
                 play(&Setup {
-                    hurts: Vec::new(),
+                    gateway_faults: Vec::new(),
                     ..setup.clone()
                 })
                 .digest
@@ -240,10 +240,13 @@
 #[test_case(60; "last two")]
 fn killed_at_any_moment(from: Time) {
     for at in from..from + 20 {
-        let hurt = [Hurt::KillBack, Hurt::KillTorn][at as usize % 2];
-        let hurts = vec![(10_000 + at, hurt, at as usize % 3, 500)];
+        let hurt = [
+            GatewayFault::KillWithClockBack,
+            GatewayFault::KillWithTruncatedFile,
+        ][at as usize % 2];
+        let gateway_faults = vec![(10_000 + at, hurt, at as usize % 3, 500)];
         let report = play(&Setup {
-            hurts,
+            gateway_faults,
             rate: 600.0,
             seconds: 2.0,
             ..setup()
@@ -351,17 +354,17 @@
 }
 
 /// What is left out on purpose breaks the rule that it serves, and no other rule's check is needed to see it.
-#[test_case(1, Plant::Nothing; "a kill that the record does not tell")]
-#[test_case(2, Plant::Repeats; "every event counts as redeliverable")]
-#[test_case(3, Plant::Deaf; "drains are not heard")]
-#[test_case(4, Plant::Warm; "cold workers count as warm")]
-#[test_case(5, Plant::Orders; "orders are not rationed")]
-fn a_planted_fault_breaks_its_rule(rule: usize, plant: Plant) {
+#[test_case(1, OmittedSafeguard::Nothing; "a kill that the record does not tell")]
+#[test_case(2, OmittedSafeguard::AllRedeliverable; "every event counts as redeliverable")]
+#[test_case(3, OmittedSafeguard::DrainsIgnored; "drains are not heard")]
+#[test_case(4, OmittedSafeguard::NoSlowStart; "cold workers count as warm")]
+#[test_case(5, OmittedSafeguard::UnlimitedLoadRequests; "orders are not rationed")]
+fn a_planted_fault_breaks_its_rule(rule: usize, omitted: OmittedSafeguard) {
     let script = "fault { trouble: WORKER_DRAIN at: 0.1 lasts_ms: 2800 count: 4 }\n\
         fault { trouble: WORKER_RESET at: 0.3 count: 6 }\nfault { trouble: WORKER_KILL at: 0.5 lasts_ms: 100 count: 5 }\n\
         fault { trouble: WORKER_SILENT at: 0.6 lasts_ms: 1500 count: 3 }\n";
-    let hurts = if rule == 1 {
-        vec![(12_000, Hurt::KillUntold, 0, 3_000)]
+    let gateway_faults = if rule == 1 {
+        vec![(12_000, GatewayFault::UnrecordedKill, 0, 3_000)]
     } else {
         Vec::new()
     };
@@ -385,8 +388,8 @@
             "the run puts the rule to the test"
         );
         let report = play(&Setup {
-            hurts: hurts.clone(),
-            plant,
+            gateway_faults: gateway_faults.clone(),
+            omitted,
             ..base
         });
         let found = report
@@ -405,16 +408,16 @@
 
 /// The stage "handed over": one of a pair hands its seat to the other, and the fault strikes so much later.
 #[test_matrix(
-    [Trouble::Kill { member: 0, back: Some(3_000) }, Trouble::Kill { member: 1, back: Some(3_000) },
-     Trouble::KillBoth { back: 5_000 }, Trouble::Pause { member: 0, lasts: 6_000 }, Trouble::Pause { member: 1, lasts: 6_000 },
-     Trouble::Cut { from: None, lasts: 8_000 }, Trouble::Cut { from: Some(0), lasts: 8_000 },
-     Trouble::Cut { from: Some(1), lasts: 8_000 },
-     Trouble::Slow { path: Path { delay: 300, jitter: 100, lost: 50, twice: 0, cut: false }, lasts: 8_000 },
-     Trouble::Forged { member: 1 }],
+    [pair::Fault::Kill { member: 0, back: Some(3_000) }, pair::Fault::Kill { member: 1, back: Some(3_000) },
+     pair::Fault::KillBoth { back: 5_000 }, pair::Fault::Pause { member: 0, lasts: 6_000 }, pair::Fault::Pause { member: 1, lasts: 6_000 },
+     pair::Fault::Cut { from: None, lasts: 8_000 }, pair::Fault::Cut { from: Some(0), lasts: 8_000 },
+     pair::Fault::Cut { from: Some(1), lasts: 8_000 },
+     pair::Fault::Slow { path: Path { delay: 300, jitter: 100, lost: 50, twice: 0, cut: false }, lasts: 8_000 },
+     pair::Fault::Forged { member: 1 }],
     ["", "WORKER_KILL AT lasts_ms: 200 count: 3", "WORKER_DRAIN AT lasts_ms: 2000 count: 2", "WORKER_RESET AT count: 4",
      "WORKER_SILENT AT lasts_ms: 1000 count: 2", "ROSTER_SILENT AT lasts_ms: 2000", "BURST AT lasts_ms: 800 factor: 4"]
 )]
-fn handed_over(trouble: Trouble, fleet: &str) {
+fn handed_over(trouble: pair::Fault, fleet: &str) {
     for after in [1, 8, 40, 300] {
         let at = 15_000 + after;
         let part = at as f64 / 30_000.0;
@@ -425,7 +428,7 @@
                 text.replace(" AT", &format!(" at: {part:.6}"))
             ),
         };
-        let leave = Trouble::Leave {
+        let leave = pair::Fault::Leave {
             member: 0,
             back: 4_000,
         };
