--- a/crates/tidewall-cli/src/coordination.rs
+++ b/crates/tidewall-cli/src/coordination.rs
@@ -14,7 +14,7 @@
 use tidewall_coordination::mailbox::{channel, ExecutorCommand, MailboxSender};
 use tidewall_gateway::EndpointWatcher;
 use tidewall_net::mio::{self, Mio};
-use tidewall_sim::fleet::Plant;
+use tidewall_sim::fleet::OmittedSafeguard;
 use tidewall_vrrp::packet::Keys;
 use tracing::error;
 
@@ -45,11 +45,11 @@
         settings: &Section,
         (member, incarnation): (usize, u64),
         seed: u64,
-        plant: Plant,
+        plant: OmittedSafeguard,
         shutdown: &Arc<AtomicBool>,
     ) -> Result<(), Failure> {
         let load_keys = key_loader(settings)?;
-        let guards = plant.guards();
+        let guards = plant.safety_checks();
         let config =
             CoordinationConfig::new(settings, member, incarnation, seed, guards, load_keys);
         // Times in messages between the tasks are of one clock.
--- a/crates/tidewall-cli/src/serve.rs
+++ b/crates/tidewall-cli/src/serve.rs
@@ -20,7 +20,7 @@
 use tidewall_gateway::native_ingress::NativeIngress;
 use tidewall_gateway::{Gateway, DRAIN_GRACE};
 use tidewall_net::mio::{self, Mio};
-use tidewall_sim::fleet::Plant;
+use tidewall_sim::fleet::OmittedSafeguard;
 use tidewall_vrrp::packet::Keys;
 use tracing::info;
 
@@ -35,8 +35,8 @@
     #[arg(long, value_name = "N")]
     seed: Option<u64>,
     /// Trials only: leaves a guard of the leases out.
-    #[arg(long, value_enum, hide = true, default_value_t = Plant::Nothing)]
-    left_out: Plant,
+    #[arg(long, value_enum, hide = true, default_value_t = OmittedSafeguard::Nothing)]
+    left_out: OmittedSafeguard,
 }
 
 #[derive(Args)]
--- a/crates/tidewall-cli/src/sim.rs
+++ b/crates/tidewall-cli/src/sim.rs
@@ -3,7 +3,9 @@
 use clap::Args;
 use comfy_table::{presets, Table};
 use std::time::Instant;
-use tidewall_sim::pair::{run, shrink, stand, Plant, Report, Setup, TroubleKind, STANDS};
+use tidewall_sim::pair::{
+    member_state_name, run, shrink, FaultKind, OmittedSafeguard, Report, Setup, MEMBER_STATES,
+};
 use tidewall_sim::{all, fleet, mutate, site};
 
 #[derive(Args)]
@@ -18,8 +20,8 @@
     #[arg(long, value_name = "N")]
     rate: Option<f64>,
     /// Leaves a guard out, to show that the audit notices.
-    #[arg(long, value_enum, default_value_t = Plant::Nothing)]
-    plant: Plant,
+    #[arg(long, value_enum, default_value_t = OmittedSafeguard::Nothing)]
+    plant: OmittedSafeguard,
     /// Three gateways beside each other instead of a pair.
     #[arg(long, conflicts_with_all = ["plant", "only", "shrink"])]
     site: bool,
@@ -30,8 +32,8 @@
     #[arg(long, conflicts_with_all = ["site", "plant", "only", "cover"])]
     fleet: bool,
     /// With --fleet: leaves a guard out, to show which net notices.
-    #[arg(long, value_enum, requires = "fleet", default_value_t = fleet::Plant::Nothing)]
-    left_out: fleet::Plant,
+    #[arg(long, value_enum, requires = "fleet", default_value_t = fleet::OmittedSafeguard::Nothing)]
+    left_out: fleet::OmittedSafeguard,
     /// With --fleet: one message of a run changed at a time. The first seed's smallest run in whole, then so many drawn
     /// changes of each seed's run.
     #[arg(long, requires = "fleet", conflicts_with = "shrink", value_name = "N", num_args = 0..=1, default_missing_value = "20")]
@@ -49,7 +51,7 @@
     shrink: bool,
     /// One trouble of this kind in each run, and none of the workers'.
     #[arg(long, value_enum)]
-    only: Option<TroubleKind>,
+    only: Option<FaultKind>,
     /// Where the record of a single seed goes, a JSON line each.
     #[arg(long, value_name = "FILE")]
     record: Option<std::path::PathBuf>,
@@ -76,18 +78,19 @@
 fn cover(reports: &[Report]) {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_BORDERS_ONLY_CONDENSED);
-    let names = (0..STANDS).map(stand);
+    let names = (0..MEMBER_STATES).map(member_state_name);
     table.set_header(std::iter::once("a, b").chain(names.clone()));
     let mut never = Vec::new();
-    for a in 0..STANDS {
-        let runs = |b: usize| reports.iter().filter(|r| r.met[a][b]).count();
+    for a in 0..MEMBER_STATES {
+        let runs = |b: usize| reports.iter().filter(|r| r.state_pairs[a][b]).count();
         never.extend(
-            (0..STANDS)
+            (0..MEMBER_STATES)
                 .filter(|b| runs(*b) == 0)
-                .map(|b| format!("{}/{}", stand(a), stand(b))),
+                .map(|b| format!("{}/{}", member_state_name(a), member_state_name(b))),
         );
         table.add_row(
-            std::iter::once(stand(a).to_string()).chain((0..STANDS).map(|b| runs(b).to_string())),
+            std::iter::once(member_state_name(a).to_string())
+                .chain((0..MEMBER_STATES).map(|b| runs(b).to_string())),
         );
     }
     println!(
@@ -118,7 +121,7 @@
     if args.shrink && !args.fleet {
         let seconds = args.seconds;
         let setup = Setup {
-            plant: args.plant,
+            omitted: args.plant,
             seconds,
             rate,
             ..Setup::new(seeds.start)
@@ -126,7 +129,7 @@
         return match shrink(&setup) {
             None => Err(Failure::Run(format!("seed {} breaks no rule", seeds.start))),
             Some(left) => {
-                left.troubles
+                left.faults
                     .iter()
                     .for_each(|t| println!("({}, Trouble::{:?}),", t.0, t.1));
                 print!("{}", left.script);
@@ -142,7 +145,7 @@
         return of_fleet(args, seeds, rate);
     }
     let began = Instant::now();
-    let (seconds, plant, only) = (args.seconds, args.plant, args.only);
+    let (seconds, omitted, only) = (args.seconds, args.plant, args.only);
     let reports = all(seeds, |seed| match args.site {
         true => site::play(&site::Setup {
             keep,
@@ -150,7 +153,7 @@
             ..site::Setup::new(seed, seconds, rate)
         }),
         false => run(Setup {
-            plant,
+            omitted,
             seconds,
             rate,
             keep,
@@ -172,7 +175,7 @@
         );
         r.breaches.iter().take(3).for_each(|b| println!("    {b}"));
         if !r.breaches.is_empty() {
-            r.troubles
+            r.faults
                 .iter()
                 .for_each(|t| println!("    {:.1} ms: {:?}", t.0 as f64 / 10.0, t.1));
             r.script.lines().for_each(|l| println!("    {l}"));
@@ -236,7 +239,7 @@
             args.leases
         )));
     }
-    let (members, leases, plant, keep) = (
+    let (members, leases, omitted, keep) = (
         args.members,
         args.leases,
         args.left_out,
@@ -245,7 +248,7 @@
     let setup = |seed| fleet::Setup {
         members,
         leases,
-        plant,
+        omitted,
         keep,
         rate,
         ..fleet::Setup::new(seed)
@@ -257,7 +260,7 @@
         return match fleet::shrink(&setup(seeds.start)) {
             None => Err(Failure::Run(format!("seed {} breaks no rule", seeds.start))),
             Some(left) => {
-                left.troubles
+                left.faults
                     .iter()
                     .for_each(|t| println!("({}, Trouble::{:?}),", t.0, t.1));
                 left.breaches
@@ -290,12 +293,12 @@
             r.refused,
             r.idle / 10,
             r.breaches.len(),
-            r.wild,
+            r.clocks_beyond_bound,
             r.digest
         );
         r.breaches.iter().take(3).for_each(|b| println!("    {b}"));
         if !r.breaches.is_empty() {
-            r.troubles
+            r.faults
                 .iter()
                 .for_each(|t| println!("    {:.1} ms: {:?}", t.0 as f64 / 10.0, t.1));
         }
@@ -331,10 +334,10 @@
 }
 
 fn mutated(args: &Sim, seeds: std::ops::Range<u64>, count: usize) -> Result<(), Failure> {
-    let (began, plant) = (Instant::now(), args.left_out);
+    let (began, omitted) = (Instant::now(), args.left_out);
     const PARTS: u64 = 60;
     let smallest = fleet::Setup {
-        plant,
+        omitted,
         ..fleet::Setup::smallest(seeds.start)
     };
     let mut whole = mutate::Table::default();
@@ -347,7 +350,7 @@
     all(seeds, |seed| {
         mutate::drawn(
             &fleet::Setup {
-                plant,
+                omitted,
                 ..fleet::Setup::new(seed)
             },
             count,
--- a/crates/tidewall-sim/src/fleet.rs
+++ b/crates/tidewall-sim/src/fleet.rs
@@ -28,7 +28,7 @@
 
 /// A safeguard that a run omits on purpose, to show which check detects its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
-pub enum Plant {
+pub enum OmittedSafeguard {
     #[default]
     Nothing,
     /// Keepers grant right after a start, without their memory.
@@ -43,23 +43,23 @@
     TwoVotes,
 }
 
-impl Plant {
-    pub const ALL: [Plant; 5] = [
-        Plant::Forgets,
-        Plant::NotShortened,
-        Plant::NoEpochs,
-        Plant::FromAnswer,
-        Plant::TwoVotes,
+impl OmittedSafeguard {
+    pub const ALL: [OmittedSafeguard; 5] = [
+        OmittedSafeguard::Forgets,
+        OmittedSafeguard::NotShortened,
+        OmittedSafeguard::NoEpochs,
+        OmittedSafeguard::FromAnswer,
+        OmittedSafeguard::TwoVotes,
     ];
 
     /// The safety checks of the leases, without those that are omitted.
-    pub fn guards(self) -> SafetyChecks {
+    pub fn safety_checks(self) -> SafetyChecks {
         SafetyChecks {
-            silent_start: self != Plant::Forgets,
-            shortened_lease: self != Plant::NotShortened,
-            counts_from_request: self != Plant::FromAnswer,
-            one_vote_per_grantor: self != Plant::TwoVotes,
-            replay_protection: self != Plant::TwoVotes,
+            silent_start: self != OmittedSafeguard::Forgets,
+            shortened_lease: self != OmittedSafeguard::NotShortened,
+            counts_from_request: self != OmittedSafeguard::FromAnswer,
+            one_vote_per_grantor: self != OmittedSafeguard::TwoVotes,
+            replay_protection: self != OmittedSafeguard::TwoVotes,
         }
     }
 }
@@ -133,19 +133,19 @@
 #[derive(Clone)]
 pub struct Setup {
     pub seed: u64,
-    pub plant: Plant,
+    pub omitted: OmittedSafeguard,
     pub members: usize,
     pub leases: usize,
     /// Requests a second; 0 to run no gateways and clients, only the lease and executor tasks.
     pub rate: f64,
     /// Faults, each with its time in tenths of a millisecond; None to draw them from the seed.
-    pub troubles: Option<Vec<(Time, Fault)>>,
+    pub faults: Option<Vec<(Time, Fault)>>,
     /// How long clients send and faults occur, in seconds.
     pub seconds: f64,
     /// Capacity of the channels between the two tasks of a process; None to draw it.
     pub channel: Option<usize>,
     /// Whether clocks drift beyond their bound; None to draw it.
-    pub wild: Option<bool>,
+    pub clocks_beyond_bound: Option<bool>,
     /// Whether the report contains the record.
     pub keep: bool,
     /// Uses the settings' defaults for times and the clock drift bound, instead of values with which failures
@@ -157,14 +157,14 @@
     pub fn new(seed: u64) -> Setup {
         Setup {
             seed,
-            plant: Plant::Nothing,
+            omitted: OmittedSafeguard::Nothing,
             members: 5,
             leases: 6,
             rate: 40.0,
-            troubles: None,
+            faults: None,
             seconds: 8.0,
             channel: None,
-            wild: None,
+            clocks_beyond_bound: None,
             keep: false,
             default_timing: false,
         }
@@ -172,16 +172,16 @@
 
     /// The smallest run: three members, all of them grantors, one lease, no gateways, no faults.
     pub fn smallest(seed: u64) -> Setup {
-        let troubles = Some(Vec::new());
-        let (channel, wild) = (Some(64), Some(false));
+        let faults = Some(Vec::new());
+        let (channel, clocks_beyond_bound) = (Some(64), Some(false));
         Setup {
             members: 3,
             leases: 1,
             rate: 0.0,
             seconds: 4.0,
-            troubles,
+            faults,
             channel,
-            wild,
+            clocks_beyond_bound,
             ..Setup::new(seed)
         }
     }
@@ -210,9 +210,9 @@
     pub idle: Time,
     pub cases: Vec<u64>,
     pub breaches: Vec<String>,
-    pub troubles: Vec<(Time, Fault)>,
+    pub faults: Vec<(Time, Fault)>,
     /// Whether clocks drifted beyond their bound.
-    pub wild: bool,
+    pub clocks_beyond_bound: bool,
     pub record: Vec<u8>,
 }
 
@@ -338,8 +338,8 @@
     fleet: Fleet<Memory>,
     workers: Vec<(String, SocketAddr)>,
     record: SharedRecord,
-    troubles: Vec<(Time, Fault)>,
-    /// Index of the next fault in `troubles`.
+    faults: Vec<(Time, Fault)>,
+    /// Index of the next fault in `faults`.
     next_fault: usize,
     scheduled: Vec<(Time, ScheduledChange)>,
     /// Partitions that are in effect.
@@ -348,7 +348,7 @@
     slow_path: Option<Path>,
     /// Members whose paths to all others a fault has changed.
     slow_members: Vec<(usize, Path)>,
-    wild: bool,
+    clocks_beyond_bound: bool,
     /// Counters and violations so far.
     totals: Report,
 }
@@ -391,7 +391,7 @@
         member,
         incarnation,
         seed,
-        setup.plant.guards(),
+        setup.omitted.safety_checks(),
         Box::new(keys),
     );
     let (to_executor, executor_inbox) = channel::<ExecutorCommand>(config.channel_capacity);
@@ -454,8 +454,8 @@
             .map(|_| std::array::from_fn(|_| Memory::join(&world)))
             .collect();
         let fleet_net = Memory::join(&world);
-        let wild = setup.wild.unwrap_or(rng.random_ratio(1, 8));
-        let bound = match (setup.default_timing, wild) {
+        let clocks_beyond_bound = setup.clocks_beyond_bound.unwrap_or(rng.random_ratio(1, 8));
+        let bound = match (setup.default_timing, clocks_beyond_bound) {
             (true, _) => 1_000,
             (_, true) => 4 * CLOCK_DRIFT_BOUND_PPM,
             _ => CLOCK_DRIFT_BOUND_PPM,
@@ -490,15 +490,15 @@
             gateways: Box::new(IgnoreCommands),
             fences: true,
             forgets: false,
-            task_epochs: setup.plant != Plant::NoEpochs,
-            wild_clocks: wild,
+            task_epochs: setup.omitted != OmittedSafeguard::NoEpochs,
+            wild_clocks: clocks_beyond_bound,
         };
         let fleet = Fleet::new(fleet_net.clone(), &settings, None, plan)
             .expect("the emulator's addresses are free");
         let workers: Vec<(String, SocketAddr)> = fleet.workers();
         let span = (setup.seconds * 10_000.0) as Time;
         let drawn = || draw_faults(&mut rng, span, setup.members);
-        let troubles = setup.troubles.clone().unwrap_or_else(drawn);
+        let faults = setup.faults.clone().unwrap_or_else(drawn);
         let processes: Vec<Process> = (0..setup.members)
             .map(|member| {
                 start_process(
@@ -519,13 +519,13 @@
             fleet,
             workers,
             record,
-            troubles,
+            faults,
             next_fault: 0,
             scheduled: Vec::new(),
             partitions: Vec::new(),
             slow_path: None,
             slow_members: Vec::new(),
-            wild,
+            clocks_beyond_bound,
             totals: Report::default(),
         };
         (0..run.processes.len()).for_each(|member| run.list_workers(member));
@@ -771,12 +771,8 @@
     /// processes.
     fn supervise(&mut self) {
         let now = self.now();
-        while self
-            .troubles
-            .get(self.next_fault)
-            .is_some_and(|t| t.0 <= now)
-        {
-            let fault = self.troubles[self.next_fault].1.clone();
+        while self.faults.get(self.next_fault).is_some_and(|t| t.0 <= now) {
+            let fault = self.faults[self.next_fault].1.clone();
             self.next_fault += 1;
             self.inject(fault);
         }
@@ -875,7 +871,7 @@
     /// Reports each task for which two members' executors hold a lease at once, each by its own clock, even
     /// if not both of them execute it in that time.
     fn check_overlap(&mut self) {
-        for task in (0..self.setup.leases).filter(|_| !self.wild) {
+        for task in (0..self.setup.leases).filter(|_| !self.clocks_beyond_bound) {
             let may = |process: &Process| {
                 process.restart_at.is_none()
                     && process.executor_task.is_held(process.nets[2].now(), task)
@@ -925,7 +921,7 @@
         self.update_paths();
         (0..self.processes.len())
             .for_each(|member| self.set_executor_path(member, Run::normal_path()));
-        self.next_fault = self.troubles.len();
+        self.next_fault = self.faults.len();
         let began = self.now();
         let mut idle = None;
         // Upper bound on a grantor's silence after its start, the expiry of a lease and its redistribution,
@@ -945,7 +941,7 @@
         let mut breaches = std::mem::take(&mut self.totals.breaches);
         // With clocks beyond their bound leases may expire at any time, so it is enough that all were held
         // once.
-        if idle.is_none() || !self.wild && !self.is_settled() {
+        if idle.is_none() || !self.clocks_beyond_bound && !self.is_settled() {
             let held: Vec<_> = (0..self.setup.leases).map(|t| self.holders(t)).collect();
             breaches.push(format!(
                 "liveness: after {} ms tasks are held by {held:?}",
@@ -988,8 +984,8 @@
             idle: idle.unwrap_or(0),
             cases: audit.verdicts.iter().map(|v| v.cases).collect(),
             breaches,
-            troubles: self.troubles,
-            wild: self.wild,
+            faults: self.faults,
+            clocks_beyond_bound: self.clocks_beyond_bound,
             record: if self.setup.keep { bytes } else { Vec::new() },
             ..self.totals
         }
@@ -1008,19 +1004,19 @@
         return None;
     }
     loop {
-        let before = last.troubles.len();
-        for i in (0..last.troubles.len()).rev() {
-            let mut fewer = last.troubles.clone();
+        let before = last.faults.len();
+        for i in (0..last.faults.len()).rev() {
+            let mut fewer = last.faults.clone();
             fewer.remove(i);
             let report = run(Setup {
-                troubles: Some(fewer),
+                faults: Some(fewer),
                 ..setup.clone()
             });
             if !report.breaches.is_empty() {
                 last = report;
             }
         }
-        if before == last.troubles.len() {
+        if before == last.faults.len() {
             return Some(last);
         }
     }
@@ -1165,15 +1161,15 @@
 
 /// Measures the [`Cost`] of so many members and leases, with production defaults.
 pub fn cost(members: usize, leases: usize) -> Cost {
-    let troubles = Some(Vec::new());
-    let (channel, wild) = (Some(100_000), Some(false));
+    let faults = Some(Vec::new());
+    let (channel, clocks_beyond_bound) = (Some(100_000), Some(false));
     let setup = Setup {
         members,
         leases,
         rate: 0.0,
-        troubles,
+        faults,
         channel,
-        wild,
+        clocks_beyond_bound,
         default_timing: true,
         seconds: 600.0,
         ..Setup::new(1)
--- a/crates/tidewall-sim/src/pair/fault.rs
+++ b/crates/tidewall-sim/src/pair/fault.rs
@@ -30,7 +30,7 @@
 
 /// A kind of fault, to draw only faults of that kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum TroubleKind {
+pub enum FaultKind {
     Kill,
     KillBoth,
     Pause,
@@ -43,19 +43,19 @@
 }
 
 /// The kinds to draw from; each entry has a probability of one twelfth.
-const WEIGHTED_KINDS: [TroubleKind; 12] = [
-    TroubleKind::Kill,
-    TroubleKind::Kill,
-    TroubleKind::Kill,
-    TroubleKind::KillBoth,
-    TroubleKind::Pause,
-    TroubleKind::Pause,
-    TroubleKind::Cut,
-    TroubleKind::Slow,
-    TroubleKind::Outside,
-    TroubleKind::Leave,
-    TroubleKind::Flap,
-    TroubleKind::Forged,
+const WEIGHTED_KINDS: [FaultKind; 12] = [
+    FaultKind::Kill,
+    FaultKind::Kill,
+    FaultKind::Kill,
+    FaultKind::KillBoth,
+    FaultKind::Pause,
+    FaultKind::Pause,
+    FaultKind::Cut,
+    FaultKind::Slow,
+    FaultKind::Outside,
+    FaultKind::Leave,
+    FaultKind::Flap,
+    FaultKind::Forged,
 ];
 
 /// The earliest time of a fault (1.2 s): by then the members have chosen their roles.
@@ -72,7 +72,7 @@
 pub(super) fn draw_faults(
     rng: &mut ChaCha8Rng,
     span: Time,
-    only: Option<TroubleKind>,
+    only: Option<FaultKind>,
 ) -> Vec<(Time, Fault)> {
     let count = match only {
         Some(_) => 1,
@@ -90,22 +90,22 @@
 }
 
 /// Draws one fault. The draws are made in a fixed order: runs with a seed depend on it.
-fn draw_fault(rng: &mut ChaCha8Rng, only: Option<TroubleKind>) -> Fault {
+fn draw_fault(rng: &mut ChaCha8Rng, only: Option<FaultKind>) -> Fault {
     let member = rng.random_range(0..2);
     let lasts = rng.random_range(500..15_000);
     let drawn = WEIGHTED_KINDS[rng.random_range(0..WEIGHTED_KINDS.len())];
     match only.unwrap_or(drawn) {
-        TroubleKind::Kill => Fault::Kill {
+        FaultKind::Kill => Fault::Kill {
             member,
             back: rng.random_ratio(3, 4).then_some(lasts),
         },
-        TroubleKind::KillBoth => Fault::KillBoth { back: lasts },
-        TroubleKind::Pause => Fault::Pause { member, lasts },
-        TroubleKind::Cut => Fault::Cut {
+        FaultKind::KillBoth => Fault::KillBoth { back: lasts },
+        FaultKind::Pause => Fault::Pause { member, lasts },
+        FaultKind::Cut => Fault::Cut {
             from: rng.random_ratio(1, 2).then_some(member),
             lasts,
         },
-        TroubleKind::Slow => Fault::Slow {
+        FaultKind::Slow => Fault::Slow {
             path: Path {
                 delay: rng.random_range(2..600),
                 jitter: rng.random_range(0..600),
@@ -115,7 +115,7 @@
             },
             lasts,
         },
-        TroubleKind::Outside => Fault::Outside {
+        FaultKind::Outside => Fault::Outside {
             path: Path {
                 delay: rng.random_range(2..100),
                 jitter: rng.random_range(0..100),
@@ -127,15 +127,15 @@
             },
             lasts,
         },
-        TroubleKind::Leave => Fault::Leave {
+        FaultKind::Leave => Fault::Leave {
             member,
             back: lasts,
         },
-        TroubleKind::Flap => Fault::Flap {
+        FaultKind::Flap => Fault::Flap {
             times: rng.random_range(2..6),
             every: FLAP_PHASE,
         },
-        TroubleKind::Forged => Fault::Forged { member },
+        FaultKind::Forged => Fault::Forged { member },
     }
 }
 
--- a/crates/tidewall-sim/src/pair/mod.rs
+++ b/crates/tidewall-sim/src/pair/mod.rs
@@ -14,7 +14,7 @@
 mod settings;
 mod shrink;
 
-pub use fault::{Fault, TroubleKind};
+pub use fault::{Fault, FaultKind};
 pub use runner::Run;
 pub use shrink::shrink;
 
@@ -25,19 +25,19 @@
 use tidewall_net::Time;
 
 /// Number of states that a member may be in: its failover roles, and dead.
-pub const STANDS: usize = Role::ALL.len() + 1;
+pub const MEMBER_STATES: usize = Role::ALL.len() + 1;
 
 /// For each combination of the two members' states, whether the run reached it: `[state of a][state of b]`.
-pub type Met = [[bool; STANDS]; STANDS];
+pub type StatePairs = [[bool; MEMBER_STATES]; MEMBER_STATES];
 
-/// The name of a member's state, by its index in [`Met`].
-pub fn stand(at: usize) -> &'static str {
+/// The name of a member's state, by its index in [`StatePairs`].
+pub fn member_state_name(at: usize) -> &'static str {
     Role::ALL.get(at).map_or("dead", |s| s.text())
 }
 
 /// A safeguard that a run omits on purpose, to show that the audit detects its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
-pub enum Plant {
+pub enum OmittedSafeguard {
     #[default]
     Nothing,
     /// Workers take launches of any epoch, and cut nobody off.
@@ -54,18 +54,18 @@
     /// Seed of all random choices.
     pub seed: u64,
     /// The safeguard that is omitted.
-    pub plant: Plant,
+    pub omitted: OmittedSafeguard,
     /// How long clients send, in seconds.
     pub seconds: f64,
     /// Requests a second.
     pub rate: f64,
     /// Faults of the members, each with its time in tenths of a millisecond; None to draw them from the seed.
-    pub troubles: Option<Vec<(Time, Fault)>>,
-    /// Faults of the workers and clients, as a script. None: drawn from the seed if `troubles` is None too,
+    pub faults: Option<Vec<(Time, Fault)>>,
+    /// Faults of the workers and clients, as a script. None: drawn from the seed if `faults` is None too,
     /// and none otherwise.
     pub script: Option<String>,
     /// Draws a single member fault, of this kind, and no worker faults.
-    pub only: Option<TroubleKind>,
+    pub only: Option<FaultKind>,
     /// Whether member b's settings differ from member a's.
     pub disagree: bool,
     /// Max age of all request classes, in milliseconds; clients wait for nine tenths of it.
@@ -79,10 +79,10 @@
     pub fn new(seed: u64) -> Setup {
         Setup {
             seed,
-            plant: Plant::Nothing,
+            omitted: OmittedSafeguard::Nothing,
             seconds: 5.0,
             rate: 120.0,
-            troubles: None,
+            faults: None,
             script: None,
             only: None,
             disagree: false,
@@ -123,11 +123,11 @@
     /// The rule violations, one line each.
     pub breaches: Vec<String>,
     /// The members' faults, each with its time in tenths of a millisecond.
-    pub troubles: Vec<(Time, Fault)>,
+    pub faults: Vec<(Time, Fault)>,
     /// The faults of the workers and clients, as a script.
     pub script: String,
     /// Which combinations of the members' states occurred.
-    pub met: Met,
+    pub state_pairs: StatePairs,
     /// What the emulated workers and clients recorded, one JSON object a line; empty unless `Setup::keep`.
     pub record: Vec<u8>,
 }
--- a/crates/tidewall-sim/src/pair/runner.rs
+++ b/crates/tidewall-sim/src/pair/runner.rs
@@ -3,7 +3,7 @@
 use super::fault::{draw_faults, draw_fleet_script};
 use super::forger::Forger;
 use super::settings::{settings, shared_address, start_member};
-use super::{Fault, Met, Plant, Report, Setup, SharedRecord, STANDS};
+use super::{Fault, OmittedSafeguard, Report, Setup, SharedRecord, StatePairs, MEMBER_STATES};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
@@ -82,14 +82,14 @@
     restart_after_drain: [Option<Time>; 2],
     served: [bool; 2],
     takeovers: u64,
-    troubles: Vec<(Time, Fault)>,
-    /// Index of the next fault in `troubles`.
+    faults: Vec<(Time, Fault)>,
+    /// Index of the next fault in `faults`.
     next_fault: usize,
     script: String,
     fault_ends: Vec<(Time, FaultEnd)>,
     /// The active member was stalled, and no member has been recorded as serving since.
     service_stalled: bool,
-    met: Met,
+    state_pairs: StatePairs,
 }
 
 impl Run {
@@ -105,7 +105,7 @@
         for net in &member_nets {
             net.clock(rng.random_range(-CLOCK_DRIFT_PPM..=CLOCK_DRIFT_PPM));
         }
-        let (troubles, script) = faults_and_script(&setup, &mut rng);
+        let (faults, script) = faults_and_script(&setup, &mut rng);
         let record = SharedRecord::default();
         let fleet = start_fleet(&setup, &fleet_net, &script, &record);
         let members = [
@@ -126,12 +126,12 @@
             restart_after_drain: [None, None],
             served: [false, false],
             takeovers: 0,
-            troubles,
+            faults,
             next_fault: 0,
             script,
             fault_ends: Vec::new(),
             service_stalled: false,
-            met: Met::default(),
+            state_pairs: StatePairs::default(),
         }
     }
 
@@ -204,9 +204,9 @@
             pauses: self.fleet.pauses().get(1..).unwrap_or(&[]).to_vec(),
             cases: std::array::from_fn(|rule| audit.verdicts[rule].cases),
             breaches: breaches(&audit),
-            troubles: self.troubles,
+            faults: self.faults,
             script: self.script,
-            met: self.met,
+            state_pairs: self.state_pairs,
             record: if self.setup.keep { bytes } else { Vec::new() },
         }
     }
@@ -215,17 +215,17 @@
 /// The member faults and the worker faults of a run: those of the setup, or drawn ones.
 fn faults_and_script(setup: &Setup, rng: &mut ChaCha8Rng) -> (Vec<(Time, Fault)>, String) {
     let span = (setup.seconds * 10_000.0) as Time;
-    let troubles = setup
-        .troubles
+    let faults = setup
+        .faults
         .clone()
         .unwrap_or_else(|| draw_faults(rng, span, setup.only));
-    let script = match (&setup.script, &setup.troubles) {
+    let script = match (&setup.script, &setup.faults) {
         (Some(text), _) => text.clone(),
         (None, Some(_)) => String::new(),
         _ if setup.only.is_some() => String::new(),
         (None, None) => draw_fleet_script(rng),
     };
-    (troubles, script)
+    (faults, script)
 }
 
 fn start_fleet(setup: &Setup, net: &Memory, script: &str, record: &SharedRecord) -> Fleet<Memory> {
@@ -237,8 +237,8 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(NoGateways),
-        fences: setup.plant != Plant::NoFences,
-        forgets: setup.plant == Plant::Forgets,
+        fences: setup.omitted != OmittedSafeguard::NoFences,
+        forgets: setup.omitted == OmittedSafeguard::Forgets,
         task_epochs: true,
         wild_clocks: false,
     };
@@ -356,7 +356,7 @@
     pub fn supervise(&mut self) {
         let now = self.now();
         let is_due = |fault: &&(Time, Fault)| fault.0 <= now;
-        while let Some(&(_, fault)) = self.troubles.get(self.next_fault).filter(is_due) {
+        while let Some(&(_, fault)) = self.faults.get(self.next_fault).filter(is_due) {
             self.next_fault += 1;
             self.inject(fault);
         }
@@ -392,9 +392,9 @@
             let dead = self.member_nets[member].dead();
             let role = self.members[member].role().filter(|_| !dead);
             let position = |role| Role::ALL.iter().position(|other| *other == role);
-            role.map_or(STANDS - 1, |role| position(role).unwrap_or(0))
+            role.map_or(MEMBER_STATES - 1, |role| position(role).unwrap_or(0))
         });
-        self.met[first][second] = true;
+        self.state_pairs[first][second] = true;
     }
 
     fn note_takeover(&mut self, member: usize) {
--- a/crates/tidewall-sim/src/pair/settings.rs
+++ b/crates/tidewall-sim/src/pair/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of both members, the workers and the clients, and how a member's process is started with
 //! them.
-use super::{Plant, Setup};
+use super::{OmittedSafeguard, Setup};
 use std::net::SocketAddr;
 use tidewall_config::Section;
 use tidewall_gateway::config::{failover_config, gateway_config};
@@ -96,7 +96,7 @@
     let mut config = gateway_config(&settings, 0, seed);
     let keys = || Keys(vec![(1, KEY.to_vec())]);
     let mut failover = failover_config(&settings, incarnation, Box::new(keys));
-    failover.replicates = setup.plant != Plant::NoCopies;
+    failover.replicates = setup.omitted != OmittedSafeguard::NoCopies;
     if setup.disagree && member == 1 {
         let line = failover
             .shared_settings
--- a/crates/tidewall-sim/src/pair/shrink.rs
+++ b/crates/tidewall-sim/src/pair/shrink.rs
@@ -10,10 +10,10 @@
     if last.breaches.is_empty() {
         return None;
     }
-    let fails = |troubles: &[(Time, Fault)], script: &str, seconds: f64| {
-        let (troubles, script) = (Some(troubles.to_vec()), Some(script.to_string()));
+    let fails = |faults: &[(Time, Fault)], script: &str, seconds: f64| {
+        let (faults, script) = (Some(faults.to_vec()), Some(script.to_string()));
         let report = run(Setup {
-            troubles,
+            faults,
             script,
             seconds,
             ..setup.clone()
@@ -22,25 +22,25 @@
     };
     let mut seconds = setup.seconds;
     loop {
-        let before = (last.troubles.len(), last.script.lines().count(), seconds);
-        for i in (0..last.troubles.len()).rev() {
-            let mut fewer = last.troubles.clone();
+        let before = (last.faults.len(), last.script.lines().count(), seconds);
+        for i in (0..last.faults.len()).rev() {
+            let mut fewer = last.faults.clone();
             fewer.remove(i);
             last = fails(&fewer, &last.script, seconds).unwrap_or(last);
         }
         for i in (0..last.script.lines().count()).rev() {
             let lines = last.script.lines().enumerate().filter(|l| l.0 != i);
             let fewer: String = lines.map(|l| format!("{}\n", l.1)).collect();
-            last = fails(&last.troubles, &fewer, seconds).unwrap_or(last);
+            last = fails(&last.faults, &fewer, seconds).unwrap_or(last);
         }
         // A script gives its times as fractions of the run, which a shorter run would move.
         let shorter = (seconds - 0.5).max(1.5);
         if last.script.is_empty() && shorter < seconds {
-            if let Some(report) = fails(&last.troubles, "", shorter) {
+            if let Some(report) = fails(&last.faults, "", shorter) {
                 (last, seconds) = (report, shorter);
             }
         }
-        if before == (last.troubles.len(), last.script.lines().count(), seconds) {
+        if before == (last.faults.len(), last.script.lines().count(), seconds) {
             return Some(last);
         }
     }
--- a/crates/tidewall-sim/src/site.rs
+++ b/crates/tidewall-sim/src/site.rs
@@ -618,13 +618,13 @@
         pauses: Vec::new(),
         cases: std::array::from_fn(|i| audit.verdicts[i].cases),
         breaches,
-        troubles: Vec::new(),
+        faults: Vec::new(),
         script: if setup.shape {
             settings_text + &script
         } else {
             script
         },
-        met: Default::default(),
+        state_pairs: Default::default(),
         record: if keep { bytes } else { Vec::new() },
     }
 }
--- a/crates/tidewall-sim/tests/fleet.rs
+++ b/crates/tidewall-sim/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Leases of several gateways on the virtual clock: equal runs for equal seeds, no broken rule under drawn faults, detection of
 //! each omitted safeguard, mutation of single messages, and network load.
 use test_case::test_case;
-use tidewall_sim::fleet::{cost, run, shrink, Fault, Plant, Setup};
+use tidewall_sim::fleet::{cost, run, shrink, Fault, OmittedSafeguard, Setup};
 use tidewall_sim::mutate::{self, Outcome};
 
 #[test]
@@ -36,15 +36,15 @@
 }
 
 /// The seeds were found by `sim --fleet --left-out`.
-#[test_case(Plant::Forgets, 399)]
-#[test_case(Plant::NotShortened, 46)]
-#[test_case(Plant::NoEpochs, 7)]
-#[test_case(Plant::FromAnswer, 498)]
-#[test_case(Plant::TwoVotes, 88)]
-fn an_omitted_safeguard_is_detected(plant: Plant, seed: u64) {
+#[test_case(OmittedSafeguard::Forgets, 399)]
+#[test_case(OmittedSafeguard::NotShortened, 46)]
+#[test_case(OmittedSafeguard::NoEpochs, 7)]
+#[test_case(OmittedSafeguard::FromAnswer, 498)]
+#[test_case(OmittedSafeguard::TwoVotes, 88)]
+fn an_omitted_safeguard_is_detected(omitted: OmittedSafeguard, seed: u64) {
     assert!(run(Setup::new(seed)).breaches.is_empty());
     assert!(!run(Setup {
-        plant,
+        omitted,
         ..Setup::new(seed)
     })
     .breaches
@@ -54,12 +54,12 @@
 #[test]
 fn a_failing_run_shrinks() {
     let setup = Setup {
-        plant: Plant::NoEpochs,
+        omitted: OmittedSafeguard::NoEpochs,
         ..Setup::new(7)
     };
-    let whole = run(setup.clone()).troubles.len();
+    let whole = run(setup.clone()).faults.len();
     let reduced = shrink(&setup).expect("it breaks a rule");
-    assert!(reduced.troubles.len() <= whole && !reduced.breaches.is_empty());
+    assert!(reduced.faults.len() <= whole && !reduced.breaches.is_empty());
     assert!(shrink(&Setup::new(7)).is_none());
 }
 
@@ -80,8 +80,8 @@
         },
     )];
     let setup = Setup {
-        troubles: Some(faults),
-        wild: Some(false),
+        faults: Some(faults),
+        clocks_beyond_bound: Some(false),
         seconds: 10.0,
         rate: 0.0,
         ..Setup::new(3)
--- a/crates/tidewall-sim/tests/late_repeats.rs
+++ b/crates/tidewall-sim/tests/late_repeats.rs
@@ -53,7 +53,7 @@
     for seed in 0..SEEDS {
         for after_ms in AFTER_MS {
             let report = run(Setup {
-                troubles: Some(faults(after_ms, stall_ms, outside_ms)),
+                faults: Some(faults(after_ms, stall_ms, outside_ms)),
                 rate: 200.0,
                 ..Setup::new(seed)
             });
--- a/crates/tidewall-sim/tests/little_time_left.rs
+++ b/crates/tidewall-sim/tests/little_time_left.rs
@@ -80,7 +80,7 @@
     let mut faults = vec![(SLOW_FROM, link), (SLOW_FROM, outside)];
     faults.extend(fault.map(|fault| (FAULT_AT, fault)));
     Setup {
-        troubles: Some(faults),
+        faults: Some(faults),
         seconds: SECONDS,
         rate: 400.0,
         max_age_ms,
--- a/crates/tidewall-sim/tests/pair.rs
+++ b/crates/tidewall-sim/tests/pair.rs
@@ -6,7 +6,7 @@
 use tidewall_net::memory::Path;
 use tidewall_net::Time;
 use tidewall_sim::all;
-use tidewall_sim::pair::{run, shrink, Fault, Plant, Report, Setup};
+use tidewall_sim::pair::{run, shrink, Fault, OmittedSafeguard, Report, Setup};
 
 const MILLISECOND: Time = 10;
 
@@ -118,13 +118,13 @@
 #[test]
 fn a_failing_seed_shrinks_to_fewer_faults() {
     let setup = Setup {
-        plant: Plant::NoCopies,
+        omitted: OmittedSafeguard::NoCopies,
         ..Setup::new(0)
     };
     let whole = run(setup.clone());
     let reduced = shrink(&setup).expect("it breaks a rule");
     assert!(
-        !reduced.breaches.is_empty() && reduced.troubles.len() < whole.troubles.len(),
+        !reduced.breaches.is_empty() && reduced.faults.len() < whole.faults.len(),
         "{reduced:?}"
     );
     assert!(shrink(&Setup::new(0)).is_none());
@@ -134,7 +134,7 @@
 fn a_member_with_different_settings_does_not_serve() {
     let setup = Setup {
         disagree: true,
-        troubles: Some(Vec::new()),
+        faults: Some(Vec::new()),
         ..Setup::new(3)
     };
     let mut run = tidewall_sim::pair::Run::new(setup);
@@ -182,10 +182,10 @@
 }
 
 /// Reports of the runs of these seeds that broke a rule.
-fn failing(seeds: std::ops::Range<u64>, plant: Plant) -> Vec<Report> {
+fn failing(seeds: std::ops::Range<u64>, omitted: OmittedSafeguard) -> Vec<Report> {
     let reports = all(seeds, |seed| {
         run(Setup {
-            plant,
+            omitted,
             ..Setup::new(seed)
         })
     });
@@ -197,19 +197,19 @@
 
 #[test]
 fn two_hundred_fixed_seeds_break_no_rule() {
-    let broken: Vec<(u64, Vec<String>)> = failing(0..200, Plant::Nothing)
+    let broken: Vec<(u64, Vec<String>)> = failing(0..200, OmittedSafeguard::Nothing)
         .into_iter()
         .map(|r| (r.seed, r.breaches))
         .collect();
     assert_eq!(broken, Vec::new());
 }
 
-#[test_case(Plant::NoFences, 99..100 ; "fencing off")]
-#[test_case(Plant::NoCopies, 0..10 ; "replication off")]
-#[test_case(Plant::Forgets, 10..30 ; "epochs granted again")]
-fn the_audit_detects_omitted_safeguards(plant: Plant, seeds: std::ops::Range<u64>) {
-    assert!(failing(seeds.clone(), Plant::Nothing).is_empty());
-    assert!(!failing(seeds, plant).is_empty());
+#[test_case(OmittedSafeguard::NoFences, 99..100 ; "fencing off")]
+#[test_case(OmittedSafeguard::NoCopies, 0..10 ; "replication off")]
+#[test_case(OmittedSafeguard::Forgets, 10..30 ; "epochs granted again")]
+fn the_audit_detects_omitted_safeguards(omitted: OmittedSafeguard, seeds: std::ops::Range<u64>) {
+    assert!(failing(seeds.clone(), OmittedSafeguard::Nothing).is_empty());
+    assert!(!failing(seeds, omitted).is_empty());
 }
 
 /// Guards against failures that depend on what is half done when the active member is killed (a record, a response, a promise,
--- a/crates/tidewall-sim/tests/table.rs
+++ b/crates/tidewall-sim/tests/table.rs
@@ -445,7 +445,7 @@
         };
         let setup = pair::Setup {
             seconds: 3.0,
-            troubles: Some(vec![(15_000, drain), (at, fault)]),
+            faults: Some(vec![(15_000, drain), (at, fault)]),
             script: Some(script),
             ..pair::Setup::new(seed())
         };
