--- a/crates/tidewall-config/src/check/amqp.rs
+++ b/crates/tidewall-config/src/check/amqp.rs
@@ -1,9 +1,9 @@
-//! The AMQP ingress.
+//! Checks of the AMQP ingress's settings.
 use super::references::{reference, unique_names};
 use super::FieldError;
 use crate::Section;
 
-/// The `amqp` section.
+/// Checks the `amqp` section.
 pub fn check(amqp: &Section, tenants: &[String]) -> Result<(), FieldError> {
     users(amqp, tenants)?;
     for function in amqp.sections("function") {
--- a/crates/tidewall-config/src/check/coordination.rs
+++ b/crates/tidewall-config/src/check/coordination.rs
@@ -1,24 +1,24 @@
-//! Leases and membership of several gateways.
+//! Checks of the settings for leases and membership of several gateways.
 use super::references::address;
 use super::FieldError;
 use crate::Section;
 use tidewall_lease::ballot::MAX_MEMBERS;
 use tidewall_lease::lease::MAX_GRANTORS;
 
-/// The fewest grantors of which a majority survives the loss of one.
+/// The smallest number of grantors of which a majority remains after the loss of one.
 const MIN_GRANTORS: usize = 3;
 
-/// Renewals that are sent to each grantor while a lease runs, as `tidewall-lease` does.
+/// Renewals that `tidewall-lease` sends to each grantor during one lease.
 const RENEWALS_PER_LEASE: f64 = 4.0;
 
 /// Renewals that fit into one datagram of 256 bytes, and the bytes of one.
 const RENEWALS_PER_DATAGRAM: f64 = 14.0;
 const RENEWAL_BYTES: f64 = 18.0;
 
-/// Answers, pings and new proposals need as much again as renewals.
+/// Factor on the traffic of renewals: responses, pings and new proposals need as much again.
 const OTHER_TRAFFIC: f64 = 2.0;
 
-/// The `fleet_common` section.
+/// Checks the `fleet_common` section.
 pub fn check(common: &Section, gateways: &[Section]) -> Result<(), FieldError> {
     let members: Vec<String> = gateways.iter().map(|g| g.text("name")).collect();
     if members.len() > MAX_MEMBERS {
@@ -43,20 +43,20 @@
 }
 
 fn addresses(gateways: &[Section]) -> Result<(), FieldError> {
-    let (mut own, mut reached) = (Vec::new(), Vec::new());
+    let (mut listen_addresses, mut reached_addresses) = (Vec::new(), Vec::new());
     for gateway in gateways {
-        address(gateway, "common_address", &mut own)?;
+        address(gateway, "common_address", &mut listen_addresses)?;
         let field = if gateway.has("common_reached_at") {
             "common_reached_at"
         } else {
             "common_address"
         };
-        address(gateway, field, &mut reached)?;
+        address(gateway, field, &mut reached_addresses)?;
     }
     Ok(())
 }
 
-/// How many grantors there are.
+/// Checks the grantors and returns how many there are.
 fn grantors(common: &Section, members: &[String]) -> Result<usize, FieldError> {
     let grantors = common.strings("keeper");
     let count = grantors.len();
@@ -77,8 +77,8 @@
     Ok(count)
 }
 
-/// How much of a lease may be acted on, in tenths of a millisecond. With less than half of it nobody would act most of
-/// the time.
+/// Returns for how long a holder may act on a lease, in tenths of a millisecond. With less than half of the lease's
+/// duration, no member could act for most of the time.
 fn usable_duration(common: &Section) -> Result<u64, FieldError> {
     let (duration, permit) = (common.duration("term_ms"), common.duration("ticket_ms"));
     let usable =
@@ -94,7 +94,7 @@
     Ok(usable)
 }
 
-/// One member that is left alone can renew all leases.
+/// Checks that the send budget allows a single remaining member to renew all leases.
 fn send_budget(common: &Section, grantors: usize, usable: u64) -> Result<(), FieldError> {
     let seconds = usable as f64 / 10_000.0;
     let renewals = RENEWALS_PER_LEASE * common.number("leases") * grantors as f64 / seconds;
--- a/crates/tidewall-config/src/check/failover.rs
+++ b/crates/tidewall-config/src/check/failover.rs
@@ -1,13 +1,13 @@
-//! Two gateways behind one address.
+//! Checks of the settings of two gateways behind one address.
 use super::references::{address, first_duplicate, unique_names};
 use super::FieldError;
 use crate::Section;
 use std::net::SocketAddr;
 
-/// The fewest voters of which a majority survives the loss of one.
+/// The smallest number of voters of which a majority remains after the loss of one.
 const MIN_VOTERS: usize = 3;
 
-/// The `pair` section; `addresses` are those that stand in other fields already.
+/// Checks the `pair` section; `addresses` are those that other fields already use.
 pub fn check(
     pair: &Section,
     gateway_count: usize,
--- a/crates/tidewall-config/src/check/fleet.rs
+++ b/crates/tidewall-config/src/check/fleet.rs
@@ -1,9 +1,9 @@
-//! The emulated fleet that `tidewall day` and `tidewall standins` play.
+//! Checks of the emulated fleet that `tidewall day` and `tidewall standins` run.
 use super::references::{reference, unique_names};
 use super::FieldError;
 use crate::Section;
 
-/// The `fleet` section.
+/// Checks the `fleet` section.
 pub fn check(
     fleet: &Section,
     zones: &[String],
--- a/crates/tidewall-config/src/check/mod.rs
+++ b/crates/tidewall-config/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! What the schema cannot say: ranges, references, and times that cannot hold together.
+//! Checks that the schema cannot express: ranges, references between fields, and contradictory times.
 mod amqp;
 mod coordination;
 mod failover;
@@ -36,11 +36,11 @@
     }
 }
 
-/// An answer of the gateway's own needs a few looks at the clock before the client gives up: the deadline of a request
-/// class is at least so many ticks.
+/// The deadline of a request class is at least this many ticks: a gateway must read its clock a few times before the
+/// client gives up, so that it can send a response of its own.
 const MIN_DEADLINE_TICKS: f64 = 20.0;
 
-/// Settings of a site.
+/// Checks the settings of a site.
 pub fn settings(settings: &Section) -> Result<(), FieldError> {
     let zones = settings.strings("zone");
     if let Some(i) = first_duplicate(&zones) {
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// Two gateways with one file would give each other's numbers away.
+/// Checks that no two gateways share an incarnation file: each would take numbers that belong to the other.
 fn incarnation_files(gateways: &[Section]) -> Result<(), FieldError> {
     let named = gateways.iter().filter(|g| g.has("incarnation_file"));
     let named: Vec<&Section> = named.collect();
@@ -102,7 +102,8 @@
     Ok(())
 }
 
-/// The addresses of gateways and of the discovery server, which clients, workers and gateways connect to.
+/// Checks the addresses of gateways and of the discovery server. Returns those that clients, workers and gateways connect
+/// to, without those for datagrams.
 fn addresses(
     settings: &Section,
     gateways: &[Section],
--- a/crates/tidewall-config/src/check/ranges.rs
+++ b/crates/tidewall-config/src/check/ranges.rs
@@ -1,4 +1,4 @@
-//! Bounds of numbers, as the schema's comments give them.
+//! Checks of numbers against the bounds that the schema's comments give.
 use super::FieldError;
 use crate::Section;
 use prost_reflect::{DynamicMessage, ReflectMessage, Value};
@@ -94,7 +94,7 @@
     ("Fault", "factor", 1e-9, 1e6),
 ];
 
-/// Every number that is set lies in its range.
+/// Checks that every number that is set lies in its range.
 pub fn check(section: &Section) -> Result<(), FieldError> {
     check_message(&section.message, &section.path)
 }
--- a/crates/tidewall-config/src/check/references.rs
+++ b/crates/tidewall-config/src/check/references.rs
@@ -1,9 +1,10 @@
-//! Names and addresses: each is there, stands once, and what refers to another names one that exists.
+//! Checks of names, references and addresses: each is set and unique, and each reference names an entry that exists.
 use super::FieldError;
 use crate::Section;
 use std::net::SocketAddr;
 
-/// Names are there, each once, and without characters that logs and the scheduler's settings give a meaning.
+/// Checks that each section has a name that is unique and free of characters with a meaning in logs and in the
+/// scheduler's settings. Returns the names.
 pub fn unique_names(sections: &[Section]) -> Result<Vec<String>, FieldError> {
     let mut names: Vec<String> = Vec::new();
     for section in sections {
@@ -21,12 +22,12 @@
     Ok(names)
 }
 
-/// The first text of a list that stands there twice, with its place.
+/// The index of the first text that occurs earlier in the list as well.
 pub fn first_duplicate(texts: &[String]) -> Option<usize> {
     (1..texts.len()).find(|i| texts[..*i].contains(&texts[*i]))
 }
 
-/// The field names one of `names`; `kind` says what these are.
+/// Checks that the field holds one of `names`; `kind` says in the error message what these are.
 pub fn reference(
     section: &Section,
     field: &str,
@@ -41,7 +42,8 @@
     Err(FieldError::new(section.field_path(field), reason))
 }
 
-/// The field is an address and port on loopback that no field in `seen` has; port 0 may stand several times.
+/// Checks that the field holds a loopback address and port that is not in `seen`, and adds it there. Port 0 may occur
+/// several times.
 pub fn address(
     section: &Section,
     field: &str,
--- a/crates/tidewall-config/src/check/script.rs
+++ b/crates/tidewall-config/src/check/script.rs
@@ -1,8 +1,8 @@
-//! Scripts of faults.
+//! Checks of fault scripts.
 use super::FieldError;
 use crate::Section;
 
-/// Faults that happen at one moment.
+/// Faults without a duration.
 const INSTANT: [&str; 4] = [
     "WORKER_RESET",
     "COPIES_VOID",
@@ -13,7 +13,7 @@
 /// Faults that need a factor above 1.
 const SCALED: [&str; 4] = ["WORKER_SLOW", "DEPOT_SLOW", "BURST", "HEAVY"];
 
-/// A whole script.
+/// Checks a whole script.
 pub fn check(script: &Section) -> Result<(), FieldError> {
     script.sections("fault").iter().try_for_each(fault)
 }
--- a/crates/tidewall-config/src/error.rs
+++ b/crates/tidewall-config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a file of settings or a script is refused: one line with file, line and column.
+//! Errors in settings and script files, displayed as one line with file, line and column.
 use crate::check::FieldError;
 use thiserror::Error;
 
@@ -16,10 +16,10 @@
     pub problem: ConfigProblem,
 }
 
-/// What is wrong in a file of settings.
+/// What is wrong in a settings or script file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigProblem {
-    /// The text is no protobuf text format of the schema.
+    /// The text is not valid protobuf text format for the schema.
     #[error("{0}")]
     Syntax(String),
     /// A field's value cannot be used.
@@ -41,7 +41,7 @@
     }
 }
 
-/// For callers that only pass the line on.
+/// For callers that only forward the error's text.
 impl From<ConfigError> for String {
     fn from(error: ConfigError) -> String {
         error.to_string()
--- a/crates/tidewall-config/src/lib.rs
+++ b/crates/tidewall-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Settings and scripts in protobuf text format.
 //!
-//! A file is parsed against the schema in `proto/`, then what the schema cannot say is checked; what is wrong is named in
-//! one line with file, line, column and field. `scheduler_settings` hands settings to the scheduler as its map of names to values.
+//! A file is parsed against the schema in `proto/` and then checked for what the schema cannot express. Errors are one line
+//! with file, line, column and field. `scheduler_settings` converts settings to the scheduler's map of names to values.
 mod check;
 mod error;
 mod locations;
@@ -20,7 +20,7 @@
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use std::sync::OnceLock;
 
-/// Settings of a site, from a file's text.
+/// Parses and checks the settings of a site.
 ///
 /// # Errors
 /// The first syntax error, or the first field whose value cannot be used.
@@ -28,7 +28,7 @@
     read(file, text, "tidewall.Settings", check::settings)
 }
 
-/// A script of faults, from a file's text.
+/// Parses and checks a fault script.
 ///
 /// # Errors
 /// As for [`settings`].
@@ -60,7 +60,7 @@
     Ok(section)
 }
 
-/// A text that does not fit the schema.
+/// An error in a text that does not match the schema.
 struct SyntaxError {
     /// Line and column.
     location: (usize, usize),
--- a/crates/tidewall-config/src/locations.rs
+++ b/crates/tidewall-config/src/locations.rs
@@ -1,8 +1,8 @@
-//! Where each field of a text stands: the parser gives values without their locations, and an error about a value must
-//! name one.
+//! The line and column of each field of a text: the parser returns values without their locations, which error messages
+//! about values need.
 use std::collections::BTreeMap;
 
-/// Line and column, each from 1, of an octet of the text.
+/// Line and column, each from 1, of the octet at this offset of the text.
 pub fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = &text.as_bytes()[..offset.min(text.len())];
     let line = before.iter().filter(|b| **b == b'\n').count() + 1;
@@ -10,11 +10,11 @@
     (line, column)
 }
 
-/// Paths such as `event_type[1].group`, each with line and column.
+/// Line and column by path, such as `event_type[1].group`.
 pub struct FieldLocations(BTreeMap<String, (usize, usize)>);
 
 impl FieldLocations {
-    /// Of a text that has been parsed before, and so is well formed.
+    /// Reads the locations of a text that the parser has accepted, and that is therefore well formed.
     pub fn of(text: &str) -> FieldLocations {
         let mut locations = FieldLocations(BTreeMap::new());
         let mut tokens = Tokens { text, offset: 0 };
@@ -22,15 +22,15 @@
         locations
     }
 
-    /// Line and column of a path, or of the nearest section above it that is written down.
+    /// Line and column of a path, or of the nearest enclosing section that the text contains.
     pub fn find(&self, path: &str) -> (usize, usize) {
         let mut path = path;
         loop {
-            let indexed = self
+            let found = self
                 .0
                 .get(path)
                 .or_else(|| self.0.get(&format!("{path}[0]")));
-            if let Some(location) = indexed {
+            if let Some(location) = found {
                 return *location;
             }
             match path.rfind(['.', '[']) {
@@ -59,12 +59,12 @@
                 next = tokens.next();
             }
             if next.is_some_and(|t| t.1 == "[") {
-                // Each value of a list has a place of its own.
-                while let Some((at, token)) = tokens.next() {
+                // Each value of a list has a location of its own.
+                while let Some((value_offset, token)) = tokens.next() {
                     match token {
                         "]" => break,
                         "," => {}
-                        _ => self.read_value(tokens, &base, name, &mut counts, at, token),
+                        _ => self.read_value(tokens, &base, name, &mut counts, value_offset, token),
                     }
                 }
             } else if let Some((_, token)) = next {
@@ -91,19 +91,19 @@
         *count += 1;
         self.0.insert(path.clone(), location);
         if matches!(token, "{" | "<") {
-            // A field that stands once is found by its plain name as well.
-            let before: Vec<String> = self.0.keys().cloned().collect();
+            // Fields of the first section are found without its index as well, as `base.field` beside `base[0].field`.
+            let known_paths: Vec<String> = self.0.keys().cloned().collect();
             self.read_fields(tokens, &path);
             if path.ends_with("[0]") {
-                let inner = format!("{path}.");
+                let prefix = format!("{path}.");
                 let added = self
                     .0
                     .iter()
-                    .filter(|e| e.0.starts_with(&inner) && !before.contains(e.0));
-                let plain: Vec<_> = added
-                    .map(|e| (format!("{base}.{}", &e.0[inner.len()..]), *e.1))
+                    .filter(|e| e.0.starts_with(&prefix) && !known_paths.contains(e.0));
+                let without_index: Vec<_> = added
+                    .map(|e| (format!("{base}.{}", &e.0[prefix.len()..]), *e.1))
                     .collect();
-                self.0.extend(plain);
+                self.0.extend(without_index);
             }
         }
     }
@@ -131,8 +131,8 @@
                 _ => break,
             }
         }
-        let from = self.offset;
-        let first = bytes[from];
+        let start = self.offset;
+        let first = bytes[start];
         self.offset += 1;
         if matches!(first, b'"' | b'\'') {
             while self.offset < bytes.len() && bytes[self.offset] != first {
@@ -140,9 +140,9 @@
             }
             self.offset = (self.offset + 1).min(bytes.len());
         } else if !b"{}<>[]:;,".contains(&first) {
-            let word = |b: &&u8| !b.is_ascii_whitespace() && !b"{}<>[]:;,#\"'".contains(b);
-            self.offset += bytes[self.offset..].iter().take_while(word).count();
+            let in_word = |b: &&u8| !b.is_ascii_whitespace() && !b"{}<>[]:;,#\"'".contains(b);
+            self.offset += bytes[self.offset..].iter().take_while(in_word).count();
         }
-        Some((from, &self.text[from..self.offset]))
+        Some((start, &self.text[start..self.offset]))
     }
 }
--- a/crates/tidewall-config/src/scheduler_settings.rs
+++ b/crates/tidewall-config/src/scheduler_settings.rs
@@ -1,9 +1,9 @@
-//! The scheduler's map of names to values. Its names belong to the bench's wire; this is the one place besides the
-//! bench's adapter that writes them.
+//! Converts settings to the scheduler's map of names to values. The benchmark's protocol defines the names; only this
+//! module and the benchmark's adapter write them.
 use crate::Section;
 use std::collections::BTreeMap;
 
-/// Settings that are copied as they are: the scheduler's name and the field's.
+/// Settings that are copied unchanged: the scheduler's name and the schema's field name.
 type Names = [(&'static str, &'static str)];
 
 const LIMIT_FLAGS: &Names = &[
@@ -46,7 +46,7 @@
     ("late-worth", "late_benefit"),
 ];
 
-/// For the gateway at this place of the settings' list.
+/// The scheduler's settings for the gateway with this index in the settings' list.
 pub fn scheduler_settings(settings: &Section, gateway_index: usize) -> BTreeMap<String, String> {
     let mut map = SettingsMap::default();
     map.put_site(settings, gateway_index);
--- a/crates/tidewall-config/src/section.rs
+++ b/crates/tidewall-config/src/section.rs
@@ -1,12 +1,12 @@
-//! One message of the settings, read field by field.
+//! Access to one message of the settings, field by field.
 use prost_reflect::{DynamicMessage, ReflectMessage, Value};
 
 /// A message of the settings, with its path in the file, such as `event_type[1]`. Fields are read by their names in the
-/// schema; a name that the schema does not have, or a field of another type, is a fault of this program and panics.
+/// schema; a name that the schema does not have, or a field of another type, is a bug in this program and panics.
 #[derive(Clone, Debug)]
 pub struct Section {
     pub(crate) message: DynamicMessage,
-    /// Where it stands; empty for the whole file.
+    /// Its path in the file; empty for the whole file.
     pub path: String,
 }
 
@@ -19,7 +19,7 @@
             .into_owned()
     }
 
-    /// Whether the field is written down.
+    /// Whether the field is set.
     pub fn has(&self, field: &str) -> bool {
         self.message.has_field_by_name(field)
     }
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A text; empty where it is left out.
+    /// A text; empty if it is not set.
     pub fn text(&self, field: &str) -> String {
         self.value(field).as_str().unwrap_or("").to_string()
     }
@@ -65,19 +65,19 @@
         }
     }
 
-    /// A time in milliseconds as tenths of one, rounded down.
+    /// A time in milliseconds, converted to tenths of a millisecond and rounded down.
     pub fn duration(&self, field: &str) -> u64 {
         // 0.3 ms times ten is a little under 3 in floating point.
         const ROUNDING: f64 = 1e-6;
         (self.number(field) * 10.0 + ROUNDING).floor() as u64
     }
 
-    /// A flag; false where it is left out.
+    /// A flag; false if it is not set.
     pub fn flag(&self, field: &str) -> bool {
         self.value(field).as_bool().unwrap_or(false)
     }
 
-    /// The name of an enumeration's value.
+    /// An enumeration value, by its name in the schema.
     pub fn enum_value(&self, field: &str) -> String {
         let descriptor = self
             .message
@@ -85,13 +85,14 @@
             .get_field_by_name(field)
             .expect("the field is known");
         let kind = descriptor.kind();
-        let of = kind.as_enum().expect("the field is an enumeration");
+        let enumeration = kind.as_enum().expect("the field is an enumeration");
         let number = self.value(field).as_enum_number().unwrap_or(0);
-        of.get_value(number)
+        enumeration
+            .get_value(number)
             .map_or(String::new(), |v| v.name().to_string())
     }
 
-    /// A section within this one; its defaults where it is left out.
+    /// A section within this one; with default values if it is not set.
     pub fn section(&self, field: &str) -> Section {
         let value = self.value(field);
         let message = value.as_message().cloned().expect("the field is a section");
--- a/crates/tidewall-config/src/shared.rs
+++ b/crates/tidewall-config/src/shared.rs
@@ -1,16 +1,16 @@
-//! Settings that two gateways behind one address must have in common.
+//! Settings that must be the same for two gateways behind one address.
 use crate::Section;
 use prost_reflect::{DynamicMessage, Value};
 
-/// A line each, path and value: all settings but those that are a member's own.
+/// All settings except those that differ between the members, each as a line with path and value.
 pub fn shared_settings(settings: &Section) -> Vec<String> {
     let mut lines = Vec::new();
     collect(&settings.message, "", &mut lines);
-    lines.retain(|line| !is_own(line));
+    lines.retain(|line| !is_member_specific(line));
     lines
 }
 
-fn is_own(line: &str) -> bool {
+fn is_member_specific(line: &str) -> bool {
     let path = line.split(' ').next().unwrap_or("");
     path.starts_with("pair.own")
         || path.starts_with("pair.peer")
