--- a/crates/tidewall-cli/src/coordination.rs
+++ b/crates/tidewall-cli/src/coordination.rs
@@ -1,5 +1,6 @@
-//! The two coordination threads beside a gateway's loop: the lease task and the executor task, each with a `Net` of its own. This
-//! module starts them, hands them the gateway's list of workers, and joins them after they have handed over their leases.
+//! The two coordination threads beside a gateway's event loop: the lease task and the executor task, each
+//! with a `Net` of its own. This module starts them, passes them the gateway's endpoint list, and joins them
+//! after they have handed over their leases.
 use crate::serve::read_keys;
 use crate::{input, Failure};
 use std::path::PathBuf;
@@ -36,10 +37,11 @@
         }
     }
 
-    /// Starts both threads, as this incarnation. Whoever sets `shutdown` makes them hand over their leases and end.
+    /// Starts both threads for this incarnation. Once `shutdown` is set, they hand over their leases and end.
     ///
     /// # Errors
-    /// Wrong input: the key file cannot be read, or the address cannot be bound. Otherwise the system gives no thread or poll.
+    /// Wrong input: the key file cannot be read, or the address cannot be bound. Run failure: the system
+    /// cannot create a thread or poll.
     pub fn start(
         &mut self,
         settings: &Section,
@@ -52,7 +54,7 @@
         let guards = plant.guards();
         let config =
             CoordinationConfig::new(settings, member, incarnation, seed, guards, load_keys);
-        // Times in messages between the tasks are of one clock.
+        // Both tasks use one clock, as their messages to each other contain times.
         let (started, clock_skew_ppm) = (Instant::now(), config.clock_skew_ppm);
         let net = || {
             let mut net = Mio::new().map_err(|e| Failure::Run(e.to_string()))?;
@@ -100,7 +102,8 @@
         Ok(())
     }
 
-    /// Passes each new list of workers on to the executor task. To be called once, after `start`.
+    /// Returns a watcher that passes each new endpoint list to the executor task. Must be called once, after
+    /// `start`.
     pub fn endpoint_watcher(&mut self) -> EndpointWatcher {
         let mut commands = self
             .endpoint_commands
@@ -112,22 +115,26 @@
         })
     }
 
-    /// The gateway has drained: the leases are handed over, and both threads end.
+    /// Makes both threads hand over their leases, and waits until they end. To be called after the gateway
+    /// has drained.
     pub fn shut_down(&mut self) {
         self.shutdown.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            // A task that panicked has logged it, and ended the process.
+            // The result holds no panic: the panic hook logs it and ends the process.
             let _ = thread.join();
         }
     }
 }
 
-/// Reads the key file anew at each call. One that cannot be read, or is being written, leaves the keys as they are.
+/// Returns a function that reads the key file at each call. If the file cannot be read, or is being written,
+/// the function returns the keys that it read last.
 fn key_loader(settings: &Section) -> Result<Box<dyn Fn() -> Keys + Send>, Failure> {
     let file = PathBuf::from(settings.section("fleet_common").text("key_file"));
     let last = Mutex::new(read_keys(&file).map_err(input)?);
     Ok(Box::new(move || {
-        let mut last = last.lock().expect("nobody panics while it holds this");
+        let mut last = last
+            .lock()
+            .expect("no thread panics while it holds this lock");
         if let Ok(keys) = read_keys(&file) {
             *last = keys;
         }
--- a/crates/tidewall-cli/src/day.rs
+++ b/crates/tidewall-cli/src/day.rs
@@ -1,5 +1,6 @@
-//! `day`: a scripted bad day on loopback. Gateways are processes of their own, which can be killed and stopped;
-//! the stand-ins run here and record what crosses their ends of the sockets; the audit reads that record.
+//! `day`: a fault script played on loopback. Gateways run as child processes, which can be killed and
+//! stopped. The emulated fleet runs in this process and records what it sends and receives on its sockets;
+//! the audit reads that record.
 use crate::from::replay;
 use crate::{input, Failure};
 use clap::Args;
@@ -33,8 +34,8 @@
     #[arg(long, value_name = "N")]
     seconds: Option<f64>,
     /// The door by which clients come.
-    #[arg(long, value_enum, default_value_t = Way::Native)]
-    door: Way,
+    #[arg(long, value_enum, default_value_t = ClientProtocol::Native)]
+    door: ClientProtocol,
     /// Two gateways behind one address, which take over from each other; a built-in bad day of a pair.
     #[arg(long, conflicts_with = "from")]
     pair: bool,
@@ -47,7 +48,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, clap::ValueEnum)]
-enum Way {
+enum ClientProtocol {
     Native,
     Amqp,
 }
@@ -57,39 +58,40 @@
 const PAIR_SCRIPT: &str = include_str!("../../../deploy/examples/bad-pair-day.txtpb");
 const SCRIPT: &str = include_str!("../../../deploy/examples/bad-day.txtpb");
 
-/// A gateway that is told to stop has its max age to answer what it holds; then it is ended.
-const STOPS: Duration = Duration::from_secs(8);
+/// After SIGTERM a gateway answers its open requests within their max age; one that still runs after this
+/// time is killed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 
-struct Processes {
-    /// One for each process.
+struct GatewayProcesses {
+    /// The settings file of each process.
     configs: Vec<PathBuf>,
     pair: bool,
     folder: PathBuf,
     names: Vec<String>,
     seed: u64,
     children: Vec<Option<Child>>,
-    lives: u64,
+    start_count: u64,
 }
 
-impl Processes {
-    fn signal(&self, gw: usize, signal: i32) {
-        if let Some(child) = &self.children[gw] {
+impl GatewayProcesses {
+    fn signal(&self, index: usize, signal: i32) {
+        if let Some(child) = &self.children[index] {
             // SAFETY: the process is our child and has not been waited for, so its id is its own.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
 
-    /// Stops all; gives back how many did not end well.
+    /// Stops all processes and returns how many did not exit with success.
     fn stop(&mut self) -> usize {
-        (0..self.children.len()).for_each(|gw| self.signal(gw, libc::SIGTERM));
-        let until = Instant::now() + STOPS;
-        let mut bad = 0;
+        (0..self.children.len()).for_each(|index| self.signal(index, libc::SIGTERM));
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        let mut failures = 0;
         for child in self.children.iter_mut().filter_map(Option::take) {
             let mut child = child;
             let status = loop {
                 match child.try_wait() {
                     Ok(Some(status)) => break Some(status),
-                    _ if Instant::now() > until => {
+                    _ if Instant::now() > deadline => {
                         let _ = child.kill();
                         let _ = child.wait();
                         break None;
@@ -97,60 +99,62 @@
                     _ => std::thread::sleep(Duration::from_millis(10)),
                 }
             };
-            bad += usize::from(!status.is_some_and(|s| s.success()));
+            failures += usize::from(!status.is_some_and(|s| s.success()));
         }
-        bad
+        failures
     }
 }
 
-impl Gateways for Processes {
-    fn kill(&mut self, gw: usize) {
-        if let Some(mut child) = self.children[gw].take() {
+impl Gateways for GatewayProcesses {
+    fn kill(&mut self, index: usize) {
+        if let Some(mut child) = self.children[index].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    fn start(&mut self, gw: usize) {
-        self.lives += 1;
-        let log = File::options()
-            .create(true)
-            .append(true)
-            .open(self.folder.join(format!("{}-{gw}.log", self.names[gw])));
-        let own = std::env::current_exe().expect("a program knows its own file");
-        let child = Command::new(own)
-            .args(["serve", "--gateway", &self.names[gw], "--config"])
-            .arg(&self.configs[gw])
-            .args(["--seed", &(self.seed * 1000 + self.lives).to_string()])
+    fn start(&mut self, index: usize) {
+        self.start_count += 1;
+        let log = File::options().create(true).append(true).open(
+            self.folder
+                .join(format!("{}-{index}.log", self.names[index])),
+        );
+        let program = std::env::current_exe().expect("the path of this program is known");
+        let child = Command::new(program)
+            .args(["serve", "--gateway", &self.names[index], "--config"])
+            .arg(&self.configs[index])
+            .args(["--seed", &(self.seed * 1000 + self.start_count).to_string()])
             .current_dir(&self.folder)
             .stdin(Stdio::null())
             .stderr(log.map_or(Stdio::null(), Stdio::from))
             .spawn();
         match child {
-            Ok(child) => self.children[gw] = Some(child),
-            Err(e) => warn!(gateway = self.names[gw], error = %e, "not started"),
+            Ok(child) => self.children[index] = Some(child),
+            Err(e) => {
+                warn!(gateway = self.names[index], error = %e, "gateway process could not be started")
+            }
         }
     }
 
-    fn still(&mut self, gw: usize, on: bool) {
-        self.signal(gw, if on { libc::SIGSTOP } else { libc::SIGCONT });
+    fn still(&mut self, index: usize, on: bool) {
+        self.signal(index, if on { libc::SIGSTOP } else { libc::SIGCONT });
     }
 }
 
-/// The fleet keeps the processes while it plays; the day needs them afterwards.
-struct Shared(std::rc::Rc<std::cell::RefCell<Processes>>);
+/// The fleet owns this handle while it runs; `run_day` needs the processes afterwards as well.
+struct SharedProcesses(std::rc::Rc<std::cell::RefCell<GatewayProcesses>>);
 
-impl Gateways for Shared {
-    fn kill(&mut self, gw: usize) {
-        self.0.borrow_mut().kill(gw);
+impl Gateways for SharedProcesses {
+    fn kill(&mut self, index: usize) {
+        self.0.borrow_mut().kill(index);
     }
 
-    fn start(&mut self, gw: usize) {
-        self.0.borrow_mut().start(gw);
+    fn start(&mut self, index: usize) {
+        self.0.borrow_mut().start(index);
     }
 
-    fn still(&mut self, gw: usize, on: bool) {
-        self.0.borrow_mut().still(gw, on);
+    fn still(&mut self, index: usize, on: bool) {
+        self.0.borrow_mut().still(index, on);
     }
 
     fn members(&self) -> Option<usize> {
@@ -159,23 +163,26 @@
     }
 }
 
-/// Ports of 0 become ports that are free now.
-fn ports(text: &str) -> std::io::Result<String> {
+/// Replaces each port 0 with a free port.
+fn assign_ports(text: &str) -> std::io::Result<String> {
     let mut text = text.to_string();
-    // Held until all are chosen, so that none is chosen twice.
-    let mut held = Vec::new();
+    // Listeners stay open until all ports are chosen, so that none is chosen twice.
+    let mut listeners = Vec::new();
     for host in ["127.0.0.1", "127.0.0.2", "127.0.0.3"] {
-        let zero = format!("{host}:0\"");
-        while text.contains(&zero) {
+        let unassigned = format!("{host}:0\"");
+        while text.contains(&unassigned) {
             let listener = TcpListener::bind((host, 0))?;
-            text = text.replacen(&zero, &format!("{}\"", listener.local_addr()?), 1);
-            held.push(listener);
+            text = text.replacen(&unassigned, &format!("{}\"", listener.local_addr()?), 1);
+            listeners.push(listener);
         }
     }
     Ok(text)
 }
 
-fn read(path: &Option<PathBuf>, built_in: (&str, &str)) -> Result<(String, String), Failure> {
+fn read_or_built_in(
+    path: &Option<PathBuf>,
+    built_in: (&str, &str),
+) -> Result<(String, String), Failure> {
     match path {
         None => Ok((built_in.0.to_string(), built_in.1.to_string())),
         Some(path) => {
@@ -186,33 +193,34 @@
     }
 }
 
-/// The example's ports are chosen anew, and its keys lie in the day's own folder.
-fn zeroed(text: &str) -> String {
+/// Sets the ports of the built-in settings to 0, and the path of their key file to one in the run's own
+/// folder.
+fn without_ports(text: &str) -> String {
     let mut out = String::new();
     for part in text.split_inclusive('"') {
         match part
             .strip_suffix('"')
             .and_then(|p| p.parse::<std::net::SocketAddr>().ok())
         {
-            Some(at) => out += &format!("{}:0\"", at.ip()),
+            Some(address) => out += &format!("{}:0\"", address.ip()),
             None => out += part,
         }
     }
     out.replace("deploy/examples/pair.keys", "pair.keys")
 }
 
-/// The other member's settings.
-fn swapped(text: &str) -> String {
+/// The settings of the other member: `own` and `peer` change places.
+fn peer_settings(text: &str) -> String {
     text.replace("  own {", "  \0 {")
         .replace("  peer {", "  own {")
         .replace("  \0 {", "  peer {")
 }
 
-/// Events a second that keep all cores of the fleet busy.
+/// Requests per second that keep all cores of the fleet busy.
 fn capacity(settings: &Section) -> f64 {
     let fleet = settings.section("fleet");
-    let cores = |w: &Section| w.number("count") * w.number("cores") * w.number("speed");
-    let cores: f64 = fleet.sections("workers").iter().map(cores).sum();
+    let group_cores = |w: &Section| w.number("count") * w.number("cores") * w.number("speed");
+    let cores: f64 = fleet.sections("workers").iter().map(group_cores).sum();
     let programs = fleet.sections("programs");
     let share: f64 = programs.iter().map(|p| p.number("share")).sum();
     let work: f64 = programs
@@ -222,7 +230,7 @@
     cores * 1000.0 / work.max(1e-9)
 }
 
-/// The settings' text with another rate of its clients.
+/// The settings' text with this request rate of the clients; none if the text has no `clients.rate`.
 fn with_rate(text: &str, rate: f64) -> Option<String> {
     let from = text.find("clients {")?;
     let from = from + text[from..].find("rate:")? + "rate:".len();
@@ -237,24 +245,24 @@
     } else {
         ("built-in day", SETTINGS)
     };
-    let (file, text) = read(&args.config, built_in)?;
+    let (file, text) = read_or_built_in(&args.config, built_in)?;
     let text = if args.pair && args.config.is_none() {
-        zeroed(&text)
+        without_ports(&text)
     } else {
         text
     };
-    let mut text = ports(&text).map_err(failed)?;
+    let mut text = assign_ports(&text).map_err(failed)?;
     let mut settings = tidewall_config::settings(&file, &text).map_err(input)?;
     if !settings.has("fleet") {
         return Err(input(format!(
             "{file}:1:1: fleet: there is none in these settings"
         )));
     }
-    let without = settings
+    let without_amqp = settings
         .sections("gateway")
         .into_iter()
         .find(|g| !g.has("amqp_address"));
-    if let Some(g) = without.filter(|_| args.door == Way::Amqp) {
+    if let Some(g) = without_amqp.filter(|_| args.door == ClientProtocol::Amqp) {
         return Err(input(format!(
             "{file}: {}: is needed for --door amqp",
             g.field_path("amqp_address")
@@ -265,7 +273,7 @@
     } else {
         ("built-in bad day", SCRIPT)
     };
-    let (script_file, mut script_text) = read(&args.script, script)?;
+    let (script_file, mut script_text) = read_or_built_in(&args.script, script)?;
     if args.pair != settings.has("pair") {
         return Err(input(format!(
             "{file}: pair: --pair and a pair section go together"
@@ -282,25 +290,25 @@
             .map(|w| w.integer("count"))
             .sum();
         let gateways = settings.sections("gateway").len();
-        let told =
+        let replayed =
             replay(&day, workers as usize, gateways).map_err(|e| input(format!("{name}: {e}")))?;
-        let rate = (capacity(&settings) * told.load).round();
+        let rate = (capacity(&settings) * replayed.load).round();
         println!(
             "{workers} workers and {gateways} gateways, {rate} events a second (load {:.2})",
-            told.load
+            replayed.load
         );
-        told.says.iter().for_each(|line| println!("{line}"));
-        (script_text, seconds) = (told.script, Some(told.seconds));
+        replayed.notes.iter().for_each(|line| println!("{line}"));
+        (script_text, seconds) = (replayed.script, Some(replayed.seconds));
         text = with_rate(&text, rate)
             .ok_or_else(|| input(format!("{file}: fleet.clients.rate: must be told")))?;
         settings = tidewall_config::settings(&file, &text).map_err(input)?;
     }
     let script = tidewall_config::script(&script_file, &script_text).map_err(input)?;
     let faults = script.sections("fault");
-    let terminals = faults
+    let amqp_fault = faults
         .iter()
         .find(|f| f.enum_value("trouble").starts_with("TERMINAL_"));
-    if let Some(f) = terminals.filter(|_| args.door != Way::Amqp) {
+    if let Some(f) = amqp_fault.filter(|_| args.door != ClientProtocol::Amqp) {
         return Err(input(format!(
             "{script_file}: {}: needs --door amqp",
             f.field_path("trouble")
@@ -319,17 +327,17 @@
         .unwrap_or_else(|| temporary.path().to_path_buf());
     std::fs::create_dir_all(&folder).map_err(|e| input(format!("{}: {e}", folder.display())))?;
     let folder = folder.canonicalize().map_err(failed)?;
-    let played = play(args, &settings, &text, &script, seconds, &folder);
-    if played.is_err() && args.keep.is_none() {
+    let result = run_day(args, &settings, &text, &script, seconds, &folder);
+    if result.is_err() && args.keep.is_none() {
         eprintln!(
             "record, settings and logs are kept in {}",
             temporary.keep().display()
         );
     }
-    played
+    result
 }
 
-fn play(
+fn run_day(
     args: &Day,
     settings: &Section,
     text: &str,
@@ -349,19 +357,19 @@
     if args.pair {
         names.push(names[0].clone());
         configs.push(folder.join("peer.txtpb"));
-        std::fs::write(&configs[1], swapped(text)).map_err(failed)?;
+        std::fs::write(&configs[1], peer_settings(text)).map_err(failed)?;
         std::fs::write(folder.join("pair.keys"), format!("1 {:064x}\n", args.seed))
             .map_err(failed)?;
     }
     let children = names.iter().map(|_| None).collect();
-    let processes = Processes {
+    let processes = GatewayProcesses {
         configs,
         pair: args.pair,
         folder: folder.to_path_buf(),
         names: names.clone(),
         seed: args.seed,
         children,
-        lives: 0,
+        start_count: 0,
     };
     let processes = std::rc::Rc::new(std::cell::RefCell::new(processes));
     let mut net = Mio::new().map_err(failed)?;
@@ -371,32 +379,32 @@
         seed: args.seed,
         seconds,
         clients: true,
-        amqp: args.door == Way::Amqp,
+        amqp: args.door == ClientProtocol::Amqp,
         record: Box::new(BufWriter::new(File::create(&record).map_err(failed)?)),
-        gateways: Box::new(Shared(processes.clone())),
+        gateways: Box::new(SharedProcesses(processes.clone())),
         fences: true,
         forgets: false,
         task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet = Fleet::new(net, settings, Some(script), plan).map_err(input)?;
-    (0..names.len()).for_each(|gw| processes.borrow_mut().start(gw));
-    info!(seconds, seed = args.seed, "the day begins");
-    let ran = mio::run(&mut fleet).map_err(failed);
-    let bad = processes.borrow_mut().stop();
-    ran?;
+    (0..names.len()).for_each(|index| processes.borrow_mut().start(index));
+    info!(seconds, seed = args.seed, "day started");
+    let result = mio::run(&mut fleet).map_err(failed);
+    let failed_gateways = processes.borrow_mut().stop();
+    result?;
     fleet.flush();
     let lines = BufReader::new(File::open(&record).map_err(failed)?)
         .lines()
         .map_while(Result::ok);
     let audit = tidewall_audit::check(lines).map_err(|error| Failure::Run(error.to_string()))?;
     let (results, loads) = (fleet.results().clone(), fleet.loads());
-    table(&results, loads, &audit);
+    print_tables(&results, loads, &audit);
     if args.pair {
-        pauses(fleet.pauses(), &results, &audit);
+        print_pauses(fleet.pauses(), &results, &audit);
     }
     if let Some(path) = &args.report {
-        report(path, args.seed, seconds, &results, loads, &audit).map_err(failed)?;
+        write_report(path, args.seed, seconds, &results, loads, &audit).map_err(failed)?;
     }
     if results.confirms_wrong > 0 {
         return Err(Failure::Run(format!(
@@ -410,44 +418,47 @@
             audit.breaches()
         )));
     }
-    if bad > 0 {
-        return Err(Failure::Run(format!("{bad} gateways did not end well")));
+    if failed_gateways > 0 {
+        return Err(Failure::Run(format!(
+            "{failed_gateways} gateways did not end well"
+        )));
     }
     Ok(())
 }
 
-/// How long clients of a pair found nobody.
-fn pauses(list: &[u64], results: &Results, audit: &Audit) {
-    // The first one is the start's.
-    let mut list = list.get(1..).unwrap_or(&[]).to_vec();
-    list.sort_unstable();
-    let at = |q: f64| {
-        list.get(((list.len().max(1) - 1) as f64 * q) as usize)
+/// Prints for how long clients of a pair could reach neither member.
+fn print_pauses(pauses: &[u64], results: &Results, audit: &Audit) {
+    // The first pause is the one until the gateways have started.
+    let mut pauses = pauses.get(1..).unwrap_or(&[]).to_vec();
+    pauses.sort_unstable();
+    let quantile = |q: f64| {
+        pauses
+            .get(((pauses.len().max(1) - 1) as f64 * q) as usize)
             .map_or(0.0, |p| *p as f64 / 10.0)
     };
     println!(
         "{} pauses, ms: median {}, p99 {}, worst {}; {} events asked again, {} fell due while nobody could be reached",
-        list.len(),
-        at(0.5),
-        at(0.99),
-        at(1.0),
+        pauses.len(),
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0),
         results.asked_again,
         audit.excused
     );
 }
 
-/// What the table and the report tell, in one order.
+/// The figures of the table and of the report, in their order.
 fn figures(r: &Results, loads: (u64, u64, u64)) -> Vec<(String, f64)> {
     let latency = |q: f64| r.latency.value_at_quantile(q) as f64 / 10.0;
-    let part =
+    let ratio =
         |good: u64, all: u64| (good as f64 / all.max(1) as f64 * 10_000.0).round() / 10_000.0;
-    let types = (0..r.names.len()).map(|i| {
+    let by_class = (0..r.names.len()).map(|i| {
         (
             format!("service of {}", r.names[i]),
-            part(r.good[i], r.asked[i]),
+            ratio(r.good[i], r.asked[i]),
         )
     });
-    let plain = [
+    let totals = [
         ("events", r.events as f64),
         ("tries", r.tries as f64),
         ("handled", r.handled as f64),
@@ -469,14 +480,14 @@
         ("misses", loads.1 as f64),
         ("repeats dropped by halls", loads.2 as f64),
     ];
-    plain
+    totals
         .into_iter()
         .map(|f| (f.0.to_string(), f.1))
-        .chain(types)
+        .chain(by_class)
         .collect()
 }
 
-/// A rule that nothing put to the test was not kept, it was not asked.
+/// A rule without any case was not tested, which is not reported as kept.
 fn verdict(cases: u64, breaches: usize) -> &'static str {
     match (cases, breaches) {
         (_, 1..) => "BROKEN",
@@ -485,7 +496,7 @@
     }
 }
 
-fn table(results: &Results, loads: (u64, u64, u64), audit: &Audit) {
+fn print_tables(results: &Results, loads: (u64, u64, u64), audit: &Audit) {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_BORDERS_ONLY_CONDENSED);
     for (name, value) in figures(results, loads) {
@@ -506,7 +517,7 @@
         ]);
     }
     println!("{table}");
-    // A handful shows what is wrong; the record holds them all.
+    // Five breaches of each rule suffice here; the record contains all of them.
     for breach in audit
         .verdicts
         .iter()
@@ -516,7 +527,7 @@
     }
 }
 
-fn report(
+fn write_report(
     path: &Path,
     seed: u64,
     seconds: f64,
--- a/crates/tidewall-cli/src/from.rs
+++ b/crates/tidewall-cli/src/from.rs
@@ -1,19 +1,20 @@
-//! A day file of the bench (JSON), turned into a script of the same kinds of trouble at the size of our fleet.
+//! Converts a day file of the benchmark (JSON) to a script with the same kinds of fault for a fleet of
+//! another size.
 use serde_json::Value;
 use std::fmt::Write;
 
-/// What a day file becomes.
+/// A converted day file.
 #[derive(Debug)]
 pub struct Replay {
     pub script: String,
     pub seconds: f64,
-    /// Part of the fleet's capacity that its traffic asks for.
+    /// The traffic, as a share of the fleet's capacity.
     pub load: f64,
-    /// One line for each trouble: how it is played, or that it is not.
-    pub says: Vec<String>,
+    /// One line for each fault of the day file: how it is played, or that it is not played.
+    pub notes: Vec<String>,
 }
 
-/// The day's times are microseconds.
+/// Microseconds per second: the day file's times are microseconds.
 const SECOND: f64 = 1e6;
 
 fn number(value: &Value, path: &str) -> Result<f64, String> {
@@ -30,80 +31,84 @@
         .ok_or_else(|| format!("field {key}: a list is missing"))
 }
 
-/// Fits a day to `workers` and `gateways` of ours.
+/// Converts a day to a fleet with this many workers and gateways.
 pub fn replay(text: &str, workers: usize, gateways: usize) -> Result<Replay, String> {
     let day: Value =
         serde_json::from_str(text).map_err(|e| format!("{}:{}: {e}", e.line(), e.column()))?;
     let length = number(&day, "length")?;
-    let (theirs, gates) = (list(&day, "servers")?.len(), list(&day, "balancers")?.len());
-    let scaled = |n: usize, of: usize, ours: usize| {
-        ((n * ours) as f64 / of.max(1) as f64)
+    let (day_servers, day_balancers) =
+        (list(&day, "servers")?.len(), list(&day, "balancers")?.len());
+    let scaled = |count: usize, day_total: usize, fleet_total: usize| {
+        ((count * fleet_total) as f64 / day_total.max(1) as f64)
             .round()
-            .clamp(1.0, ours.max(1) as f64) as usize
+            .clamp(1.0, fleet_total.max(1) as f64) as usize
     };
-    let (mut script, mut says) = (String::new(), Vec::new());
-    for (i, t) in list(&day, "troubles")?.iter().enumerate() {
-        let named = |e: String| format!("troubles[{i}].{e}");
-        let kind = t
+    let (mut script, mut notes) = (String::new(), Vec::new());
+    for (i, entry) in list(&day, "troubles")?.iter().enumerate() {
+        let in_entry = |e: String| format!("troubles[{i}].{e}");
+        let kind = entry
             .get("kind")
             .and_then(Value::as_str)
-            .ok_or_else(|| named("kind: missing".to_string()))?;
-        let get = |key: &str| number(t, key).map_err(named);
+            .ok_or_else(|| in_entry("kind: missing".to_string()))?;
+        let get = |key: &str| number(entry, key).map_err(in_entry);
         let (at, lasts, size, extra) = (get("at")?, get("len")?, get("size")?, get("extra")?);
-        let hit = t.get("on").and_then(Value::as_array).map_or(0, Vec::len);
-        let steps = t
+        let affected = entry
+            .get("on")
+            .and_then(Value::as_array)
+            .map_or(0, Vec::len);
+        let steps = entry
             .get("steps")
             .and_then(Value::as_array)
             .cloned()
             .unwrap_or_default();
-        let mut fault = |trouble: &str, at: f64, lasts: f64, count: usize, factor: f64| {
+        let mut fault = |fault_kind: &str, at: f64, lasts: f64, count: usize, factor: f64| {
             // Writing to a String cannot fail.
             let _ = writeln!(
                 script,
-                "fault {{ trouble: {trouble} at: {:.4} lasts_ms: {:.0} count: {count} factor: {factor:.3} }}",
+                "fault {{ trouble: {fault_kind} at: {:.4} lasts_ms: {:.0} count: {count} factor: {factor:.3} }}",
                 (at / length).clamp(0.0, 1.0),
                 (lasts / 1000.0).clamp(1.0, 3.6e6),
             );
         };
         let factor = size.max(1.01);
-        let some = scaled(hit, theirs, workers);
-        let how = match kind {
+        let hit_workers = scaled(affected, day_servers, workers);
+        let description = match kind {
             "hang" => {
-                fault("WORKER_HANG", at, lasts, some, 1.0);
-                format!("{some} of {workers} workers hang")
+                fault("WORKER_HANG", at, lasts, hit_workers, 1.0);
+                format!("{hit_workers} of {workers} workers hang")
             }
             "vanish" => {
-                fault("WORKER_KILL", at, lasts, some, 1.0);
-                format!("{some} of {workers} workers are killed and come back cold")
+                fault("WORKER_KILL", at, lasts, hit_workers, 1.0);
+                format!("{hit_workers} of {workers} workers are killed and come back cold")
             }
             "mass_restart" => {
-                fault("WORKER_KILL", at, lasts.min(5.0 * SECOND), some, 1.0);
-                format!("{some} of {workers} workers restart together")
+                fault("WORKER_KILL", at, lasts.min(5.0 * SECOND), hit_workers, 1.0);
+                format!("{hit_workers} of {workers} workers restart together")
             }
             "slow" | "ageing" => {
-                // Ageing grows to its size: half of it stands for the whole time.
+                // Ageing grows to its size over time; half of it is played for the whole time.
                 let factor = if kind == "ageing" {
                     (size / 2.0).max(1.01)
                 } else {
                     factor
                 };
-                fault("WORKER_SLOW", at, lasts, some, factor);
-                format!("{some} of {workers} workers are {factor:.1} times slower")
+                fault("WORKER_SLOW", at, lasts, hit_workers, factor);
+                format!("{hit_workers} of {workers} workers are {factor:.1} times slower")
             }
             "balancer_crash" => {
-                let some = scaled(hit, gates, gateways);
-                fault("GATEWAY_KILL", at, lasts, some, 1.0);
-                format!("{some} of {gateways} gateways are killed")
+                let hit_gateways = scaled(affected, day_balancers, gateways);
+                fault("GATEWAY_KILL", at, lasts, hit_gateways, 1.0);
+                format!("{hit_gateways} of {gateways} gateways are killed")
             }
             "balancer_stall" => {
-                let some = scaled(hit, gates, gateways);
-                fault("GATEWAY_STILL", at, lasts, some, 1.0);
-                format!("{some} of {gateways} gateways stand still")
+                let hit_gateways = scaled(affected, day_balancers, gateways);
+                fault("GATEWAY_STILL", at, lasts, hit_gateways, 1.0);
+                format!("{hit_gateways} of {gateways} gateways stand still")
             }
             "balancer_roll" | "deploy" => {
-                let (of, ours, trouble) = match kind {
-                    "deploy" => (theirs, workers, "WORKER_DRAIN"),
-                    _ => (gates, gateways, "GATEWAY_KILL"),
+                let (day_total, fleet_total, fault_kind) = match kind {
+                    "deploy" => (day_servers, workers, "WORKER_DRAIN"),
+                    _ => (day_balancers, gateways, "GATEWAY_KILL"),
                 };
                 let down = (extra * SECOND).max(SECOND);
                 for step in &steps {
@@ -112,14 +117,14 @@
                         .and_then(Value::as_array)
                         .map_or(0, Vec::len);
                     fault(
-                        trouble,
-                        number(step, "at").map_err(named)?,
+                        fault_kind,
+                        number(step, "at").map_err(in_entry)?,
                         down,
-                        scaled(stopped, of, ours),
+                        scaled(stopped, day_total, fleet_total),
                         1.0,
                     );
                 }
-                format!("{} steps of {ours} in all", steps.len())
+                format!("{} steps of {fleet_total} in all", steps.len())
             }
             "burst" => {
                 fault("BURST", at, lasts, 1, factor);
@@ -139,12 +144,12 @@
                 "all idle copies are void".to_string()
             }
             _ => {
-                says.push(format!("{kind}: not played"));
+                notes.push(format!("{kind}: not played"));
                 continue;
             }
         };
-        says.push(format!(
-            "{kind}: {how}, {:.1} s from {:.1} s",
+        notes.push(format!(
+            "{kind}: {description}, {:.1} s from {:.1} s",
             lasts / SECOND,
             at / SECOND
         ));
@@ -154,7 +159,7 @@
         script,
         seconds: (length / SECOND).clamp(1.0, 3600.0),
         load,
-        says,
+        notes,
     })
 }
 
@@ -173,31 +178,32 @@
         r#"{"kind": "hang", "at": 10000000, "len": 2000000, "size": 0, "extra": 0, "on": [1, 2]}"#;
 
     #[test]
-    fn sizes_and_times_are_scaled_to_our_fleet() {
-        let told = replay(&day(HANG), 12, 3).unwrap();
-        assert_eq!((told.seconds, told.load), (40.0, 0.5));
+    fn sizes_and_times_are_scaled_to_the_fleet() {
+        let replayed = replay(&day(HANG), 12, 3).unwrap();
+        assert_eq!((replayed.seconds, replayed.load), (40.0, 0.5));
         assert!(
-            told.script
+            replayed
+                .script
                 .contains("WORKER_HANG at: 0.2500 lasts_ms: 2000 count: 3"),
             "{}",
-            told.script
+            replayed.script
         );
-        tidewall_config::script("replay", &told.script).unwrap();
+        tidewall_config::script("replay", &replayed.script).unwrap();
     }
 
     #[test]
-    fn a_kind_that_is_not_played_is_said() {
-        let told = replay(&day(&HANG.replace("hang", "scan")), 12, 3).unwrap();
+    fn a_kind_that_is_not_played_is_noted() {
+        let replayed = replay(&day(&HANG.replace("hang", "scan")), 12, 3).unwrap();
         assert_eq!(
-            (told.script.as_str(), &told.says[..]),
+            (replayed.script.as_str(), &replayed.notes[..]),
             ("", &["scan: not played".to_string()][..])
         );
     }
 
     #[test]
     fn a_bad_day_file_names_its_field() {
-        let told = replay(&day(&HANG.replace("\"at\": 10000000,", "")), 12, 3).unwrap_err();
-        assert_eq!(told, "troubles[0].field at: a number is missing");
+        let error = replay(&day(&HANG.replace("\"at\": 10000000,", "")), 12, 3).unwrap_err();
+        assert_eq!(error, "troubles[0].field at: a number is missing");
         assert!(replay("{", 12, 3).unwrap_err().starts_with("1:1"));
         assert_eq!(
             replay("{}", 12, 3).unwrap_err(),
--- a/crates/tidewall-cli/src/incarnations.rs
+++ b/crates/tidewall-cli/src/incarnations.rs
@@ -1,4 +1,4 @@
-//! The numbers by which the starts of this process are told apart.
+//! The incarnation numbers that distinguish the starts of a gateway.
 use crate::{input, Failure};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,20 +8,21 @@
 use tidewall_gateway::incarnation_store::IncarnationStore;
 use tracing::warn;
 
-/// A number that cannot be stored is tried again after this; the log says so each time.
+/// Time between attempts to store a number; each failure is logged.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a wait looks whether the process was told to go.
+/// Time between checks for a shutdown while waiting.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Numbers the incarnations of one gateway, from one start of the process to the next where its settings name a file.
+/// Numbers the incarnations of one gateway; the numbers go on rising across restarts of the process if the
+/// settings name a file for them.
 pub struct Incarnations {
     store: Option<IncarnationStore>,
     last: u64,
 }
 
 impl Incarnations {
-    /// Of the gateway with these settings.
+    /// Opens the file that these settings of a gateway name, if any.
     ///
     /// # Errors
     /// Wrong input: another process uses the file, or its lock file cannot be opened.
@@ -37,12 +38,12 @@
         Ok(Incarnations { store, last: 0 })
     }
 
-    /// Others know an incarnation of this gateway with this number: the next one is above it.
+    /// Makes the next number higher than this one, which others know as an incarnation of this gateway.
     pub fn known_elsewhere(&mut self, number: u64) {
         self.last = self.last.max(number);
     }
 
-    /// The next number. Where it cannot be stored this waits until it can be; none where `shutdown` is set meanwhile.
+    /// The next number. Waits while it cannot be stored; returns none if `shutdown` is set meanwhile.
     pub fn next(&mut self, shutdown: &AtomicBool) -> Option<u64> {
         loop {
             match self.try_next() {
@@ -50,7 +51,10 @@
                     self.last = number;
                     return Some(number);
                 }
-                Err(error) => warn!(error, "incarnation could not be stored; not started yet"),
+                Err(error) => warn!(
+                    error,
+                    "incarnation could not be stored; gateway not started yet"
+                ),
             }
             if wait(STORE_RETRY_INTERVAL, shutdown) {
                 return None;
@@ -68,7 +72,7 @@
     }
 }
 
-/// Waits so long; true as soon as `shutdown` is set.
+/// Waits for this time, or until `shutdown` is set; returns whether it was set.
 fn wait(duration: Duration, shutdown: &AtomicBool) -> bool {
     let polls = duration.as_millis() / SHUTDOWN_POLL_INTERVAL.as_millis();
     (0..polls).any(|_| {
@@ -77,7 +81,7 @@
     })
 }
 
-/// Milliseconds since 1970; 1 where the clock stands before that.
+/// Milliseconds since 1970; 1 if the clock is set to an earlier time.
 fn wall_clock_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(1, |since| since.as_millis() as u64)
--- a/crates/tidewall-cli/src/main.rs
+++ b/crates/tidewall-cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `tidewall`: the command line. Exit codes: 0 well, 1 a rule or a run failed, 2 bad input.
+//! `tidewall`: the command line. Exit codes: 0 for success, 1 if a rule was broken or a run failed, 2 for
+//! invalid input.
 mod coordination;
 mod day;
 mod from;
@@ -24,13 +25,13 @@
 )]
 struct Cli {
     #[command(flatten)]
-    logs: Logs,
+    log_options: LogOptions,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Args)]
-struct Logs {
+struct LogOptions {
     /// Logs as JSON lines instead of text.
     #[arg(long, global = true)]
     log_json: bool,
@@ -61,15 +62,16 @@
     Day(day::Day),
     /// How both members of a pair stand.
     Status(status::Status),
-    /// Plays a pair of gateways on a virtual clock, one run for each seed, with drawn faults; checks the five rules.
+    /// Plays a pair of gateways on a virtual clock, one run for each seed, with drawn faults; checks the five
+    /// rules.
     Sim(sim::Sim),
 }
 
-/// What ends a command before its end.
+/// Why a command failed.
 pub enum Failure {
-    /// A rule or a run.
+    /// A rule was broken, or the run failed.
     Run(String),
-    /// What was given to us.
+    /// The input is invalid.
     Input(String),
 }
 
@@ -88,12 +90,13 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // A panic of the decisions must not go on with half a state, nor end without its text.
+    // After a panic the process must not continue with an inconsistent state, nor exit without the panic's
+    // text.
     std::panic::set_hook(Box::new(|info| {
         eprintln!("panic: {}", info.to_string().replace('\n', " "));
         std::process::exit(1);
     }));
-    let filter = match tracing_subscriber::EnvFilter::try_new(&cli.logs.log) {
+    let filter = match tracing_subscriber::EnvFilter::try_new(&cli.log_options.log) {
         Ok(filter) => filter,
         Err(e) => {
             eprintln!("--log: {e}");
@@ -101,22 +104,22 @@
         }
     };
     let ansi = std::io::stderr().is_terminal();
-    let logs = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(ansi);
     let virtual_time = matches!(cli.command, Command::Sim(_));
-    match (cli.logs.log_json, virtual_time) {
-        (true, true) => logs
+    match (cli.log_options.log_json, virtual_time) {
+        (true, true) => subscriber
             .with_timer(VirtualTime)
             .json()
             .flatten_event(true)
             .init(),
-        (true, false) => logs.json().flatten_event(true).init(),
-        (false, true) => logs.with_timer(VirtualTime).init(),
-        (false, false) => logs.init(),
+        (true, false) => subscriber.json().flatten_event(true).init(),
+        (false, true) => subscriber.with_timer(VirtualTime).init(),
+        (false, false) => subscriber.init(),
     }
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Serve(args) => serve::serve(&args),
         Command::Platform => platform::platform(),
         Command::Check { config } => settings(&config).map(|_| ()),
@@ -127,7 +130,7 @@
         Command::Status(args) => status::status(&args),
         Command::Sim(args) => sim::sim(&args),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure::Run(text)) => {
             eprintln!("{text}");
--- a/crates/tidewall-cli/src/platform.rs
+++ b/crates/tidewall-cli/src/platform.rs
@@ -1,4 +1,5 @@
-//! `platform`: one gateway as the platform starts it. All that it needs stands in the file that `ROUTER_CONFIG` names.
+//! `platform`: runs one gateway as the platform starts it, with the configuration file that `ROUTER_CONFIG`
+//! names.
 use crate::{input, Failure};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -17,11 +18,11 @@
 use tidewall_platform_ingress::PlatformIngress;
 use tracing::info;
 
-/// SIGHUP reads the configuration again, the others shut the gateway down.
+/// SIGHUP makes the gateway read its configuration again; the others shut it down.
 const SIGNALS: [i32; 3] = [libc::SIGHUP, libc::SIGINT, libc::SIGTERM];
 
-/// A connection to a worker on which every attempt was abandoned and nothing arrives is closed after this, in tenths of a
-/// millisecond: several round trips and pauses.
+/// A connection to a worker is closed if all its attempts were abandoned and nothing has arrived for this
+/// time, in tenths of a millisecond. The time covers several round trips and pauses.
 const WORKER_SILENCE_TIMEOUT: u64 = 30_000;
 
 /// A configuration that was read and checked.
@@ -33,7 +34,7 @@
     revision: u64,
 }
 
-/// Runs a gateway until it is told to stop. What is wrong with the configuration is an input failure that names the file
+/// Runs a gateway until a signal stops it. An invalid configuration is an input failure that names the file
 /// and the field.
 pub fn platform() -> Result<(), Failure> {
     let file = std::env::var_os("ROUTER_CONFIG").map(PathBuf::from);
@@ -116,7 +117,7 @@
     })
 }
 
-/// The gateway's limits by the settings and the descriptor budget.
+/// The gateway's limits, from the settings and the descriptor budget.
 fn gateway_limits(settings: &Settings, budget: &DescriptorBudget) -> GatewayLimits {
     GatewayLimits {
         max_requests: settings.number("allowed.most-held") as usize,
@@ -125,7 +126,8 @@
         connections_per_worker: budget.connections_per_worker,
         max_worker_connections: budget.worker_connections,
         spread_threshold: budget.spread_threshold,
-        // The gateway closes first: an attempt that crosses the host's own close may have been executed.
+        // The gateway closes idle connections before the host does: an attempt that crosses the host's close
+        // may have been executed.
         keep_alive: settings.duration("allowed.keepalive-ms") * 3 / 4,
         health_check_timeout: settings.duration("allowed.connect-timeout-ms"),
         load_request_timeout: settings.duration("extra.order-timeout-ms"),
@@ -133,7 +135,7 @@
     }
 }
 
-/// By class, whether its calls need an idempotency key.
+/// For each class, whether its calls need an idempotency key.
 fn classes_with_idempotency_key(settings: &Settings) -> Vec<bool> {
     let classes = settings.number("classes.count") as usize;
     (0..classes)
--- a/crates/tidewall-cli/src/serve.rs
+++ b/crates/tidewall-cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve` and `standins`: processes that run until they are told to stop.
+//! `serve` and `standins`: a gateway and an emulated fleet that run until a signal stops them.
 use crate::coordination::CoordinationThreads;
 use crate::incarnations::Incarnations;
 use crate::{input, settings, Failure};
@@ -51,13 +51,13 @@
     record: Option<PathBuf>,
 }
 
-/// SIGINT and SIGTERM.
+/// The signals that stop the process.
 const SIGNALS: [i32; 2] = [libc::SIGINT, libc::SIGTERM];
 
 pub fn serve(args: &Serve) -> Result<(), Failure> {
-    let (_, s) = settings(&args.config)?;
-    let gateways = s.sections("gateway");
-    let me = match &args.gateway {
+    let (_, settings) = settings(&args.config)?;
+    let gateways = settings.sections("gateway");
+    let gateway_index = match &args.gateway {
         None => 0,
         Some(name) => {
             let found = gateways.iter().position(|g| g.text("name") == *name);
@@ -68,74 +68,90 @@
             })?
         }
     };
-    let own = &gateways[me];
+    let gateway_settings = &gateways[gateway_index];
     let seed = args
         .seed
-        .or_else(|| Some(own.integer("seed")).filter(|s| *s > 0))
+        .or_else(|| Some(gateway_settings.integer("seed")).filter(|seed| *seed > 0))
         .unwrap_or_else(|| {
             let now = SystemTime::now().duration_since(UNIX_EPOCH);
-            now.map_or(1, |d| d.as_nanos() as u64)
+            now.map_or(1, |since| since.as_nanos() as u64)
         });
-    info!(gateway = own.text("name"), seed, "starts");
-    // Told to go between two lives, when no net listens for it.
-    let told = Arc::new(AtomicBool::new(false));
+    info!(
+        gateway = gateway_settings.text("name"),
+        seed, "gateway process started"
+    );
+    // Set by a signal; needed between two incarnations, when no `Net` receives signals.
+    let shutdown = Arc::new(AtomicBool::new(false));
     for signal in SIGNALS {
-        signal_hook::flag::register(signal, told.clone())
+        signal_hook::flag::register(signal, shutdown.clone())
             .map_err(|e| Failure::Run(e.to_string()))?;
     }
-    // A member that is superseded again and again (a tenth of a second at first, ten at most) does not spin.
-    let (began, mut damp) = (Instant::now(), FlapDamping::new(1_000, 100_000));
-    let numbered = s.has("pair") || s.has("fleet_common");
-    let mut incarnations = Incarnations::open(own)?;
+    // Delays the restart of a member that is superseded again and again: 0.1 s at first, 10 s at most.
+    let (began, mut flap_damping) = (Instant::now(), FlapDamping::new(1_000, 100_000));
+    let needs_incarnation = settings.has("pair") || settings.has("fleet_common");
+    let mut incarnations = Incarnations::open(gateway_settings)?;
     let mut coordination = CoordinationThreads::none();
-    // A member of a pair that is superseded starts anew, as a new life that knows nothing.
+    // A member of a pair that is superseded starts again as a new incarnation without any state.
     loop {
         let mut net = Mio::new().map_err(|e| Failure::Run(e.to_string()))?;
         net.signals(&SIGNALS)
             .map_err(|e| Failure::Run(e.to_string()))?;
-        let shelf: Box<dyn EndpointCache> = match own.text("last_list").as_str() {
-            "" => Box::new(NoEndpointCache),
-            path => Box::new(BackgroundEndpointCache::new(FileEndpointCache(path.into()))),
-        };
-        let mut start = gateway_config(&s, me, seed);
-        let incarnation = if numbered {
-            match incarnations.next(&told) {
+        let endpoint_cache: Box<dyn EndpointCache> =
+            match gateway_settings.text("last_list").as_str() {
+                "" => Box::new(NoEndpointCache),
+                path => Box::new(BackgroundEndpointCache::new(FileEndpointCache(path.into()))),
+            };
+        let mut config = gateway_config(&settings, gateway_index, seed);
+        let incarnation = if needs_incarnation {
+            match incarnations.next(&shutdown) {
                 Some(incarnation) => incarnation,
                 None => return Ok(()),
             }
         } else {
             0
         };
-        if s.has("pair") {
-            let file = PathBuf::from(s.section("pair").text("key_file"));
-            let first = read_keys(&file).map_err(input)?;
-            let last = std::cell::RefCell::new(first);
-            // A file that cannot be read, or is being written, leaves the keys as they are.
+        if settings.has("pair") {
+            let file = PathBuf::from(settings.section("pair").text("key_file"));
+            let initial_keys = read_keys(&file).map_err(input)?;
+            let last_keys = std::cell::RefCell::new(initial_keys);
+            // If the file cannot be read, or is being written, the last keys stay in use.
             let keys = move || {
                 if let Ok(keys) = read_keys(&file) {
-                    *last.borrow_mut() = keys;
+                    *last_keys.borrow_mut() = keys;
                 }
-                last.borrow().clone()
+                last_keys.borrow().clone()
             };
-            start.failover = Some(failover_config(&s, incarnation, Box::new(keys)));
+            config.failover = Some(failover_config(&settings, incarnation, Box::new(keys)));
         }
-        let mut gateway = Gateway::new(net, start, shelf).map_err(input)?;
-        let at = own.text("address").parse().expect("checked");
+        let mut gateway = Gateway::new(net, config, endpoint_cache).map_err(input)?;
+        let address = gateway_settings.text("address").parse().expect("checked");
         gateway
-            .add_ingress(at, Box::new(NativeIngress::new(0, &own.text("name"))))
+            .add_ingress(
+                address,
+                Box::new(NativeIngress::new(0, &gateway_settings.text("name"))),
+            )
             .map_err(input)?;
-        if own.has("amqp_address") {
-            let at = own.text("amqp_address").parse().expect("checked");
+        if gateway_settings.has("amqp_address") {
+            let address = gateway_settings
+                .text("amqp_address")
+                .parse()
+                .expect("checked");
             gateway
-                .add_ingress(at, Box::new(Amqp::new(1, &s)))
+                .add_ingress(address, Box::new(Amqp::new(1, &settings)))
                 .map_err(input)?;
         }
-        if !s.has("pair") {
-            // Of a pair the other member takes over at once.
+        if !settings.has("pair") {
+            // No drain grace period for a member of a pair: the other member takes over at once.
             gateway.set_drain_grace(DRAIN_GRACE);
         }
-        if s.has("fleet_common") {
-            coordination.start(&s, (me, incarnation), seed, args.left_out, &told)?;
+        if settings.has("fleet_common") {
+            coordination.start(
+                &settings,
+                (gateway_index, incarnation),
+                seed,
+                args.left_out,
+                &shutdown,
+            )?;
             gateway.watch_endpoints(coordination.endpoint_watcher());
         }
         mio::run(&mut gateway).map_err(|e| Failure::Run(e.to_string()))?;
@@ -146,9 +162,9 @@
         }
         incarnations.known_elsewhere(gateway.newest_own_incarnation());
         drop(gateway);
-        let until = damp.next_hold_off((began.elapsed().as_micros() / 100) as u64);
-        while ((began.elapsed().as_micros() / 100) as u64) < until {
-            if told.load(Ordering::Relaxed) {
+        let restart_at = flap_damping.next_hold_off((began.elapsed().as_micros() / 100) as u64);
+        while ((began.elapsed().as_micros() / 100) as u64) < restart_at {
+            if shutdown.load(Ordering::Relaxed) {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -179,8 +195,8 @@
 }
 
 pub fn standins(args: &Standins) -> Result<(), Failure> {
-    let (_, s) = settings(&args.config)?;
-    if !s.has("fleet") {
+    let (_, settings) = settings(&args.config)?;
+    if !settings.has("fleet") {
         return Err(input(format!(
             "{}:1:1: fleet: there is none in these settings",
             args.config.display()
@@ -197,7 +213,7 @@
     let mut net = Mio::new().map_err(|e| Failure::Run(e.to_string()))?;
     net.signals(&SIGNALS)
         .map_err(|e| Failure::Run(e.to_string()))?;
-    let seed = s.section("fleet").integer("seed");
+    let seed = settings.section("fleet").integer("seed");
     let plan = Plan {
         seed,
         seconds: 0.0,
@@ -210,8 +226,8 @@
         task_epochs: true,
         wild_clocks: false,
     };
-    let mut fleet = Fleet::new(net, &s, None, plan).map_err(input)?;
-    info!(roster = %fleet.roster_at(), "the stand-in fleet is up");
+    let mut fleet = Fleet::new(net, &settings, None, plan).map_err(input)?;
+    info!(roster = %fleet.roster_at(), "emulated fleet started");
     mio::run(&mut fleet).map_err(|e| Failure::Run(e.to_string()))?;
     fleet.flush();
     Ok(())
--- a/crates/tidewall-cli/src/sim.rs
+++ b/crates/tidewall-cli/src/sim.rs
@@ -1,4 +1,4 @@
-//! `sim`: seeded runs of a pair on a virtual clock, one thread for each core.
+//! `sim`: seeded runs of a pair, a site or a fleet on a virtual clock, one thread per core.
 use crate::{input, Failure};
 use clap::Args;
 use comfy_table::{presets, Table};
@@ -32,8 +32,8 @@
     /// With --fleet: leaves a guard out, to show which net notices.
     #[arg(long, value_enum, requires = "fleet", default_value_t = fleet::Plant::Nothing)]
     left_out: fleet::Plant,
-    /// With --fleet: one message of a run changed at a time. The first seed's smallest run in whole, then so many drawn
-    /// changes of each seed's run.
+    /// With --fleet: one message of a run changed at a time. The first seed's smallest run in whole, then so
+    /// many drawn changes of each seed's run.
     #[arg(long, requires = "fleet", conflicts_with = "shrink", value_name = "N", num_args = 0..=1, default_missing_value = "20")]
     mutate: Option<usize>,
     /// With --fleet: members, 3 to 50, and leases, 1 to 10,000.
@@ -44,7 +44,8 @@
     /// Which states of both members were met together, by how many runs, and which never.
     #[arg(long, conflicts_with = "site")]
     cover: bool,
-    /// Leaves troubles out of a single seed that breaks a rule, as long as it still does, and prints what is left.
+    /// Leaves troubles out of a single seed that breaks a rule, as long as it still does, and prints what is
+    /// left.
     #[arg(long)]
     shrink: bool,
     /// One trouble of this kind in each run, and none of the workers'.
@@ -58,30 +59,33 @@
     each: bool,
 }
 
-fn seeds(text: &str) -> Result<std::ops::Range<u64>, Failure> {
-    let bad = || input(format!("--seeds: '{text}' is neither a seed nor A..B"));
+fn parse_seeds(text: &str) -> Result<std::ops::Range<u64>, Failure> {
+    let invalid = || input(format!("--seeds: '{text}' is neither a seed nor A..B"));
     match text.split_once("..") {
         Some((a, b)) => {
-            let (a, b) = (a.parse().map_err(|_| bad())?, b.parse().map_err(|_| bad())?);
+            let (a, b) = (
+                a.parse().map_err(|_| invalid())?,
+                b.parse().map_err(|_| invalid())?,
+            );
             if a < b {
                 Ok(a..b)
             } else {
-                Err(bad())
+                Err(invalid())
             }
         }
-        None => text.parse().map(|a: u64| a..a + 1).map_err(|_| bad()),
+        None => text.parse().map(|a: u64| a..a + 1).map_err(|_| invalid()),
     }
 }
 
-fn cover(reports: &[Report]) {
+fn print_coverage(reports: &[Report]) {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_BORDERS_ONLY_CONDENSED);
     let names = (0..STANDS).map(stand);
     table.set_header(std::iter::once("a, b").chain(names.clone()));
-    let mut never = Vec::new();
+    let mut unmet = Vec::new();
     for a in 0..STANDS {
         let runs = |b: usize| reports.iter().filter(|r| r.met[a][b]).count();
-        never.extend(
+        unmet.extend(
             (0..STANDS)
                 .filter(|b| runs(*b) == 0)
                 .map(|b| format!("{}/{}", stand(a), stand(b))),
@@ -92,12 +96,12 @@
     }
     println!(
         "{table}\nnever met together (member a/member b): {}",
-        never.join(" ")
+        unmet.join(" ")
     );
 }
 
 pub fn sim(args: &Sim) -> Result<(), Failure> {
-    let seeds = seeds(&args.seeds)?;
+    let seeds = parse_seeds(&args.seeds)?;
     if !(2.0..=600.0).contains(&args.seconds) {
         return Err(input(format!(
             "--seconds: {} is not within 2 to 600",
@@ -125,12 +129,14 @@
         };
         return match shrink(&setup) {
             None => Err(Failure::Run(format!("seed {} breaks no rule", seeds.start))),
-            Some(left) => {
-                left.troubles
+            Some(remaining) => {
+                remaining
+                    .troubles
                     .iter()
                     .for_each(|t| println!("({}, Trouble::{:?}),", t.0, t.1));
-                print!("{}", left.script);
-                left.breaches
+                print!("{}", remaining.script);
+                remaining
+                    .breaches
                     .iter()
                     .take(3)
                     .for_each(|b| println!("    {b}"));
@@ -139,9 +145,9 @@
         };
     }
     if args.fleet {
-        return of_fleet(args, seeds, rate);
+        return run_fleet(args, seeds, rate);
     }
-    let began = Instant::now();
+    let started = Instant::now();
     let (seconds, plant, only) = (args.seconds, args.plant, args.only);
     let reports = all(seeds, |seed| match args.site {
         true => site::play(&site::Setup {
@@ -179,7 +185,7 @@
         }
     }
     let sum = |f: fn(&Report) -> u64| reports.iter().map(f).sum::<u64>();
-    let failed = reports.iter().filter(|r| !r.breaches.is_empty()).count();
+    let broken_runs = reports.iter().filter(|r| !r.breaches.is_empty()).count();
     let cases: Vec<u64> = (0..5)
         .map(|i| reports.iter().map(|r| r.cases[i]).sum())
         .collect();
@@ -187,7 +193,7 @@
         "{} runs in {:.1} s: {} events, {} handled, {} asked again, {} takeovers, {} launches refused, {} excused, \
          {} steps",
         reports.len(),
-        began.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
         sum(|r| r.events),
         sum(|r| r.handled),
         sum(|r| r.asked_again),
@@ -199,7 +205,7 @@
     let service = reports.iter().map(|r| r.service).sum::<f64>() / reports.len().max(1) as f64;
     println!("cases of rules 1 to 5: {cases:?}; mean service {service:.4}");
     if args.cover {
-        cover(&reports);
+        print_coverage(&reports);
     }
     let mut pauses: Vec<u64> = reports
         .iter()
@@ -207,23 +213,23 @@
         .collect();
     pauses.sort_unstable();
     if let Some(last) = pauses.last() {
-        let at = |q: f64| pauses[((pauses.len() - 1) as f64 * q) as usize] as f64 / 10.0;
+        let quantile = |q: f64| pauses[((pauses.len() - 1) as f64 * q) as usize] as f64 / 10.0;
         println!(
             "{} pauses, ms: median {}, p90 {}, p99 {}, worst {}",
             pauses.len(),
-            at(0.5),
-            at(0.9),
-            at(0.99),
+            quantile(0.5),
+            quantile(0.9),
+            quantile(0.99),
             *last as f64 / 10.0
         );
     }
-    if failed > 0 {
-        return Err(Failure::Run(format!("{failed} runs broke a rule")));
+    if broken_runs > 0 {
+        return Err(Failure::Run(format!("{broken_runs} runs broke a rule")));
     }
     Ok(())
 }
 
-fn of_fleet(args: &Sim, seeds: std::ops::Range<u64>, rate: f64) -> Result<(), Failure> {
+fn run_fleet(args: &Sim, seeds: std::ops::Range<u64>, rate: f64) -> Result<(), Failure> {
     if !(3..=50).contains(&args.members) {
         return Err(input(format!(
             "--members: {} is not within 3 to 50",
@@ -251,16 +257,18 @@
         ..fleet::Setup::new(seed)
     };
     if let Some(count) = args.mutate {
-        return mutated(args, seeds, count);
+        return run_mutations(args, seeds, count);
     }
     if args.shrink {
         return match fleet::shrink(&setup(seeds.start)) {
             None => Err(Failure::Run(format!("seed {} breaks no rule", seeds.start))),
-            Some(left) => {
-                left.troubles
+            Some(remaining) => {
+                remaining
+                    .troubles
                     .iter()
                     .for_each(|t| println!("({}, Trouble::{:?}),", t.0, t.1));
-                left.breaches
+                remaining
+                    .breaches
                     .iter()
                     .take(3)
                     .for_each(|b| println!("    {b}"));
@@ -268,7 +276,7 @@
             }
         };
     }
-    let began = Instant::now();
+    let started = Instant::now();
     let reports = all(seeds, |seed| fleet::run(setup(seed)));
     if let Some(path) = &args.record {
         let name = path.display();
@@ -301,7 +309,7 @@
         }
     }
     let sum = |f: fn(&fleet::Report) -> u64| reports.iter().map(f).sum::<u64>();
-    let failed = reports.iter().filter(|r| !r.breaches.is_empty()).count();
+    let broken_runs = reports.iter().filter(|r| !r.breaches.is_empty()).count();
     let cases: Vec<u64> = (0..6)
         .map(|i| reports.iter().map(|r| r.cases[i]).sum())
         .collect();
@@ -309,7 +317,7 @@
         "{} runs in {:.1} s: {} events, {} handled, {} acts, {} changes of holder, {} datagrams, {} refused, {} messages \
          found a channel full, {} steps",
         reports.len(),
-        began.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
         sum(|r| r.events),
         sum(|r| r.handled),
         sum(|r| r.acts),
@@ -324,25 +332,25 @@
         "cases of rules 1 to 6: {cases:?}; all held at most {} ms after the troubles",
         worst / 10
     );
-    if failed > 0 {
-        return Err(Failure::Run(format!("{failed} runs broke a rule")));
+    if broken_runs > 0 {
+        return Err(Failure::Run(format!("{broken_runs} runs broke a rule")));
     }
     Ok(())
 }
 
-fn mutated(args: &Sim, seeds: std::ops::Range<u64>, count: usize) -> Result<(), Failure> {
-    let (began, plant) = (Instant::now(), args.left_out);
-    const PARTS: u64 = 60;
+fn run_mutations(args: &Sim, seeds: std::ops::Range<u64>, count: usize) -> Result<(), Failure> {
+    let (started, plant) = (Instant::now(), args.left_out);
+    const PART_COUNT: u64 = 60;
     let smallest = fleet::Setup {
         plant,
         ..fleet::Setup::smallest(seeds.start)
     };
-    let mut whole = mutate::Table::default();
-    all(0..PARTS, |part| {
-        mutate::exhaustive(&smallest, part as usize, PARTS as usize)
+    let mut exhaustive = mutate::Table::default();
+    all(0..PART_COUNT, |part| {
+        mutate::exhaustive(&smallest, part as usize, PART_COUNT as usize)
     })
     .into_iter()
-    .for_each(|t| whole.merge(t));
+    .for_each(|t| exhaustive.merge(t));
     let mut drawn = mutate::Table::default();
     all(seeds, |seed| {
         mutate::drawn(
@@ -356,35 +364,35 @@
     .into_iter()
     .for_each(|t| drawn.merge(t));
     for (title, table) in [
-        ("smallest run, every message and mutation", &whole),
+        ("smallest run, every message and mutation", &exhaustive),
         ("drawn", &drawn),
     ] {
         println!("{title}: {} messages, {} runs", table.messages, table.runs);
         if args.each {
-            let mut shown = Table::new();
-            shown.load_preset(presets::ASCII_BORDERS_ONLY_CONDENSED);
+            let mut printed = Table::new();
+            printed.load_preset(presets::ASCII_BORDERS_ONLY_CONDENSED);
             let names = mutate::Outcome::ALL.map(|o| o.name());
-            shown.set_header(["message", "mutation"].into_iter().chain(names));
+            printed.set_header(["message", "mutation"].into_iter().chain(names));
             for ((kind, m), counts) in &table.counts {
                 let row = [kind.to_string(), m.to_string()].into_iter();
-                shown.add_row(row.chain(counts.iter().map(|c| c.to_string())));
+                printed.add_row(row.chain(counts.iter().map(|c| c.to_string())));
             }
-            println!("{shown}");
+            println!("{printed}");
         }
-        let sums = |i: usize| table.counts.values().map(|c| c[i]).sum::<usize>();
-        let sums: Vec<String> = mutate::Outcome::ALL
+        let total = |i: usize| table.counts.values().map(|c| c[i]).sum::<usize>();
+        let totals: Vec<String> = mutate::Outcome::ALL
             .iter()
-            .map(|o| format!("{} {}", sums(*o as usize), o.name()))
+            .map(|o| format!("{} {}", total(*o as usize), o.name()))
             .collect();
-        println!("    {}", sums.join(", "));
+        println!("    {}", totals.join(", "));
         for (seed, at, m, what) in table.broken.iter().take(5) {
             println!("    seed {seed}, message {at}, {m:?}: {what}");
         }
     }
-    println!("{:.1} s", began.elapsed().as_secs_f64());
-    let broken = whole.broken.len() + drawn.broken.len();
-    if broken > 0 {
-        return Err(Failure::Run(format!("{broken} runs broke a rule")));
+    println!("{:.1} s", started.elapsed().as_secs_f64());
+    let broken_runs = exhaustive.broken.len() + drawn.broken.len();
+    if broken_runs > 0 {
+        return Err(Failure::Run(format!("{broken_runs} runs broke a rule")));
     }
     Ok(())
 }
--- a/crates/tidewall-cli/src/status.rs
+++ b/crates/tidewall-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: how a member of a pair stands, asked over its link address.
+//! `status`: prints the state of both members of a pair, queried at their link addresses.
 use crate::{input, settings, Failure};
 use clap::Args;
 use comfy_table::{presets, Table};
@@ -15,52 +15,58 @@
     config: PathBuf,
 }
 
-/// A member that does not answer within this is called unreachable.
-const WAIT: Duration = Duration::from_secs(1);
+/// A member that does not respond within this time is reported as unreachable.
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-fn ask(at: SocketAddr) -> Result<Vec<u8>, String> {
+fn query(address: SocketAddr) -> Result<Vec<u8>, String> {
     let failed = |e: std::io::Error| e.to_string();
-    let mut socket = TcpStream::connect_timeout(&at, WAIT).map_err(failed)?;
-    socket.set_read_timeout(Some(WAIT)).map_err(failed)?;
+    let mut socket = TcpStream::connect_timeout(&address, TIMEOUT).map_err(failed)?;
+    socket.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
     let mut out = Vec::new();
     wire::hello(&mut out, "status", "status", 1);
     socket.write_all(&out).map_err(failed)?;
-    let (mut got, mut chunk) = (Vec::new(), [0; 4096]);
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        if let Some((body, _)) = wire::frame(&got)? {
+        if let Some((body, _)) = wire::frame(&received)? {
             return Ok(body.to_vec());
         }
         match socket.read(&mut chunk).map_err(failed)? {
             0 => return Err("closed without an answer".to_string()),
-            n => got.extend_from_slice(&chunk[..n]),
+            length => received.extend_from_slice(&chunk[..length]),
         }
     }
 }
 
-fn row(at: SocketAddr) -> Result<Vec<String>, String> {
-    let body = ask(at)?;
-    let f = Fields::read(&body)?;
-    if f.kind()? != kind::STATUS {
+fn status_row(address: SocketAddr) -> Result<Vec<String>, String> {
+    let body = query(address)?;
+    let fields = Fields::read(&body)?;
+    if fields.kind()? != kind::STATUS {
         return Err("it is no member of a pair".to_string());
     }
-    let whole = |field| f.upto(field, u64::MAX, 0).map(|v| v.to_string());
+    let number = |field| fields.upto(field, u64::MAX, 0).map(|v| v.to_string());
     Ok(vec![
-        f.text(Field::Name)?.to_string(),
-        f.text(Field::Word)?.to_string(),
-        tidewall_failover::proposal::epoch_number(f.upto(Field::Epoch, u64::MAX, 0)?).to_string(),
-        if f.flag(Field::On)? { "up" } else { "down" }.to_string(),
-        whole(Field::InFlight)?,
-        whole(Field::Copies)?,
-        whole(Field::Seq)?,
-        whole(Field::Waiting)?,
-        whole(Field::Ballot)?,
-        f.word(Field::Reason)?.to_string(),
+        fields.text(Field::Name)?.to_string(),
+        fields.text(Field::Word)?.to_string(),
+        tidewall_failover::proposal::epoch_number(fields.upto(Field::Epoch, u64::MAX, 0)?)
+            .to_string(),
+        if fields.flag(Field::On)? {
+            "up"
+        } else {
+            "down"
+        }
+        .to_string(),
+        number(Field::InFlight)?,
+        number(Field::Copies)?,
+        number(Field::Seq)?,
+        number(Field::Waiting)?,
+        number(Field::Ballot)?,
+        fields.word(Field::Reason)?.to_string(),
     ])
 }
 
 pub fn status(args: &Status) -> Result<(), Failure> {
-    let (_, s) = settings(&args.config)?;
-    if !s.has("pair") {
+    let (_, settings) = settings(&args.config)?;
+    if !settings.has("pair") {
         return Err(input(format!(
             "{}:1:1: pair: there is none in these settings",
             args.config.display()
@@ -82,9 +88,9 @@
     ]);
     let mut reached = 0;
     for part in ["own", "peer"] {
-        let member = s.section("pair").section(part);
-        let at = member.text("link_address").parse().expect("checked");
-        match row(at) {
+        let member = settings.section("pair").section(part);
+        let address = member.text("link_address").parse().expect("checked");
+        match status_row(address) {
             Ok(row) => {
                 reached += 1;
                 table.add_row(row);
--- a/crates/tidewall-cli/src/virtual_time.rs
+++ b/crates/tidewall-cli/src/virtual_time.rs
@@ -1,10 +1,10 @@
-//! Times of log lines in simulated runs.
+//! Timestamps of log lines in simulated runs.
 use tidewall_net::memory::{current_step, CurrentStep};
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-/// Writes the simulated network's time in milliseconds and the number of the node whose step it is, in place of the
-/// system's time: lines then agree with the audit's, and are the same in each run of a seed.
+/// Writes the simulated network's time in milliseconds and the number of the node that is executing, instead
+/// of the system's time: log lines then agree with the audit's times, and are the same in each run of a seed.
 pub struct VirtualTime;
 
 impl FormatTime for VirtualTime {
--- a/crates/tidewall-config/src/check/coordination.rs
+++ b/crates/tidewall-config/src/check/coordination.rs
@@ -77,8 +77,8 @@
     Ok(count)
 }
 
-/// Returns for how long a holder may act on a lease, in tenths of a millisecond. With less than half of the lease's
-/// duration, no member could act for most of the time.
+/// Returns for how long a holder may act on a lease, in tenths of a millisecond. With less than half of the
+/// lease's duration, no member could act for most of the time.
 fn usable_duration(common: &Section) -> Result<u64, FieldError> {
     let (duration, permit) = (common.duration("term_ms"), common.duration("ticket_ms"));
     let usable =
--- a/crates/tidewall-config/src/check/mod.rs
+++ b/crates/tidewall-config/src/check/mod.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// The deadline of a request class is at least this many ticks: a gateway must read its clock a few times before the
-/// client gives up, so that it can send a response of its own.
+/// The deadline of a request class is at least this many ticks: a gateway must read its clock a few times
+/// before the client gives up, so that it can send a response of its own.
 const MIN_DEADLINE_TICKS: f64 = 20.0;
 
 /// Checks the settings of a site.
@@ -102,8 +102,8 @@
     Ok(())
 }
 
-/// Checks the addresses of gateways and of the discovery server. Returns those that clients, workers and gateways connect
-/// to, without those for datagrams.
+/// Checks the addresses of gateways and of the discovery server. Returns those that clients, workers and
+/// gateways connect to, without those for datagrams.
 fn addresses(
     settings: &Section,
     gateways: &[Section],
--- a/crates/tidewall-config/src/check/ranges.rs
+++ b/crates/tidewall-config/src/check/ranges.rs
@@ -6,7 +6,8 @@
 /// The largest number where the schema's comment names no bound: far above any site, and exact in an `f64`.
 const MAX_NUMBER: f64 = 1e12;
 
-/// Message, field, least and greatest value. A bound that is excluded is written as the smallest step above it.
+/// Message, field, least and greatest value. A bound that is excluded is written as the smallest step above
+/// it.
 const RANGES: &[(&str, &str, f64, f64)] = &[
     ("Settings", "over_share_benefit", 0.0, 1.0),
     ("Settings", "tick_ms", 0.1, 100.0),
--- a/crates/tidewall-config/src/check/references.rs
+++ b/crates/tidewall-config/src/check/references.rs
@@ -1,10 +1,11 @@
-//! Checks of names, references and addresses: each is set and unique, and each reference names an entry that exists.
+//! Checks of names, references and addresses: each is set and unique, and each reference names an entry that
+//! exists.
 use super::FieldError;
 use crate::Section;
 use std::net::SocketAddr;
 
-/// Checks that each section has a name that is unique and free of characters with a meaning in logs and in the
-/// scheduler's settings. Returns the names.
+/// Checks that each section has a name that is unique and free of characters with a meaning in logs and in
+/// the scheduler's settings. Returns the names.
 pub fn unique_names(sections: &[Section]) -> Result<Vec<String>, FieldError> {
     let mut names: Vec<String> = Vec::new();
     for section in sections {
@@ -42,8 +43,8 @@
     Err(FieldError::new(section.field_path(field), reason))
 }
 
-/// Checks that the field holds a loopback address and port that is not in `seen`, and adds it there. Port 0 may occur
-/// several times.
+/// Checks that the field holds a loopback address and port that is not in `seen`, and adds it there. Port 0
+/// may occur several times.
 pub fn address(
     section: &Section,
     field: &str,
--- a/crates/tidewall-config/src/lib.rs
+++ b/crates/tidewall-config/src/lib.rs
@@ -1,7 +1,8 @@
 //! Settings and scripts in protobuf text format.
 //!
-//! A file is parsed against the schema in `proto/` and then checked for what the schema cannot express. Errors are one line
-//! with file, line, column and field. `scheduler_settings` converts settings to the scheduler's map of names to values.
+//! A file is parsed against the schema in `proto/` and then checked for what the schema cannot express.
+//! Errors are one line with file, line, column and field. `scheduler_settings` converts settings to the
+//! scheduler's map of names to values.
 mod check;
 mod error;
 mod locations;
--- a/crates/tidewall-config/src/locations.rs
+++ b/crates/tidewall-config/src/locations.rs
@@ -1,5 +1,5 @@
-//! The line and column of each field of a text: the parser returns values without their locations, which error messages
-//! about values need.
+//! The line and column of each field of a text: the parser returns values without their locations, which
+//! error messages about values need.
 use std::collections::BTreeMap;
 
 /// Line and column, each from 1, of the octet at this offset of the text.
@@ -91,7 +91,8 @@
         *count += 1;
         self.0.insert(path.clone(), location);
         if matches!(token, "{" | "<") {
-            // Fields of the first section are found without its index as well, as `base.field` beside `base[0].field`.
+            // Fields of the first section are found without its index as well, as `base.field` beside
+            // `base[0].field`.
             let known_paths: Vec<String> = self.0.keys().cloned().collect();
             self.read_fields(tokens, &path);
             if path.ends_with("[0]") {
--- a/crates/tidewall-config/src/scheduler_settings.rs
+++ b/crates/tidewall-config/src/scheduler_settings.rs
@@ -1,5 +1,5 @@
-//! Converts settings to the scheduler's map of names to values. The benchmark's protocol defines the names; only this
-//! module and the benchmark's adapter write them.
+//! Converts settings to the scheduler's map of names to values. The benchmark's protocol defines the names;
+//! only this module and the benchmark's adapter write them.
 use crate::Section;
 use std::collections::BTreeMap;
 
--- a/crates/tidewall-config/src/section.rs
+++ b/crates/tidewall-config/src/section.rs
@@ -1,8 +1,9 @@
 //! Access to one message of the settings, field by field.
 use prost_reflect::{DynamicMessage, ReflectMessage, Value};
 
-/// A message of the settings, with its path in the file, such as `event_type[1]`. Fields are read by their names in the
-/// schema; a name that the schema does not have, or a field of another type, is a bug in this program and panics.
+/// A message of the settings, with its path in the file, such as `event_type[1]`. Fields are read by their
+/// names in the schema; a name that the schema does not have, or a field of another type, is a bug in this
+/// program and panics.
 #[derive(Clone, Debug)]
 pub struct Section {
     pub(crate) message: DynamicMessage,
