--- a/crates/tidewall-cli/tests/cli.rs
+++ b/crates/tidewall-cli/tests/cli.rs
@@ -1,4 +1,5 @@
-//! The command line as a process: bad input is one plain line and exit 2, and nothing is started.
+//! The command line as a process: invalid input is reported in one line with exit code 2, and nothing is
+//! started.
 use std::io::Write;
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -15,7 +16,7 @@
         .unwrap()
 }
 
-/// Settings with the example's ports replaced by free ones, in a file of their own.
+/// Writes the example's settings, with free ports and this change, to a file.
 fn settings(name: &str, change: impl Fn(String) -> String) -> PathBuf {
     let free = || {
         TcpListener::bind("127.0.0.1:0")
@@ -40,31 +41,35 @@
     path
 }
 
-fn refused(output: &Output, says: &str) {
-    let told = String::from_utf8_lossy(&output.stderr);
-    let lines: Vec<&str> = told.lines().filter(|l| !l.contains(" INFO ")).collect();
-    assert_eq!((output.status.code(), lines.len()), (Some(2), 1), "{told}");
-    assert!(lines[0].contains(says), "{told}");
+fn assert_refused(output: &Output, reason: &str) {
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    let lines: Vec<&str> = stderr.lines().filter(|l| !l.contains(" INFO ")).collect();
+    assert_eq!(
+        (output.status.code(), lines.len()),
+        (Some(2), 1),
+        "{stderr}"
+    );
+    assert!(lines[0].contains(reason), "{stderr}");
 }
 
 #[test]
-fn good_settings_pass_and_bad_ones_name_their_place() {
+fn bad_settings_are_refused_with_their_location() {
     let good = settings("good", |t| t);
     let output = tidewall(&["check", "--config", good.to_str().unwrap()]);
     assert_eq!((output.status.code(), output.stderr.len()), (Some(0), 0));
     let bad = settings("bad", |t| t.replace("window_ms: 4000", "window_ms: -1"));
     let path = bad.to_str().unwrap();
     for command in ["check", "serve", "standins"] {
-        refused(
+        assert_refused(
             &tidewall(&[command, "--config", path]),
             &format!("{path}:27:3: event_type[1].window_ms"),
         );
     }
-    refused(
+    assert_refused(
         &tidewall(&["check", "--config", "/nonexistent.txtpb"]),
         "/nonexistent.txtpb",
     );
-    refused(
+    assert_refused(
         &tidewall(&[
             "serve",
             "--config",
@@ -77,7 +82,7 @@
 }
 
 #[test]
-fn a_port_in_use_is_named() {
+fn a_port_in_use_is_reported() {
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = held.local_addr().unwrap().to_string();
     let path = settings("port", |t| {
@@ -85,15 +90,16 @@
         let end = from + t[from..].find('"').unwrap();
         format!("{}{at}{}", &t[..from], &t[end..])
     });
-    refused(
+    assert_refused(
         &tidewall(&["serve", "--config", path.to_str().unwrap()]),
         &at,
     );
 }
 
-/// Gateway and stand-ins as processes; one event from the shell; SIGTERM ends both well.
+/// Runs a gateway and an emulated fleet as processes, sends a request with `send`, and stops both with
+/// SIGTERM.
 #[test]
-fn an_event_from_the_shell_is_handled_and_sigterm_ends_well() {
+fn a_request_from_the_command_line_is_handled_and_sigterm_exits_with_success() {
     let path = settings("run", |t| t.replace("window_ms: 10000", "window_ms: 0"));
     let text = std::fs::read_to_string(&path).unwrap();
     let from = text.find("address: \"").unwrap() + "address: \"".len();
@@ -111,7 +117,7 @@
             .spawn()
             .unwrap()
     };
-    let mut both = [start("standins"), start("serve")];
+    let mut processes = [start("standins"), start("serve")];
     let send = [
         "send",
         "--to",
@@ -132,17 +138,17 @@
         std::thread::sleep(std::time::Duration::from_millis(250));
         answer = tidewall(&send);
     }
-    let told = String::from_utf8_lossy(&answer.stdout).to_string();
-    refused(
+    let response = String::from_utf8_lossy(&answer.stdout).to_string();
+    assert_refused(
         &tidewall(&["send", "--to", at, "--type", "nope", "--function", "f"]),
         "field type: 'nope'",
     );
-    for child in &both {
-        // SAFETY: our own child, not waited for yet.
+    for child in &processes {
+        // SAFETY: the process is our child and has not been waited for.
         unsafe { libc::kill(child.id() as i32, libc::SIGTERM) };
     }
-    let codes = both.each_mut().map(|c| c.wait().unwrap().code());
-    assert!(told.starts_with("handled after"), "{told}");
+    let codes = processes.each_mut().map(|c| c.wait().unwrap().code());
+    assert!(response.starts_with("handled after"), "{response}");
     assert_eq!(codes, [Some(0), Some(0)]);
 }
 
@@ -150,6 +156,6 @@
 #[test_case(&["sim", "--fleet", "--leases", "0"], "--leases: 0 is not within 1 to 10000" ; "no leases")]
 #[test_case(&["sim", "--fleet", "--seeds", "x"], "--seeds: 'x' is neither a seed nor A..B" ; "no seeds")]
 #[test_case(&["sim", "--fleet", "--shrink", "--seeds", "0..2"], "--shrink: a single seed is needed" ; "several seeds to shrink")]
-fn a_run_of_the_fleet_that_cannot_be_is_refused(args: &[&str], says: &str) {
-    refused(&tidewall(args), says);
+fn invalid_options_of_a_fleet_run_are_refused(args: &[&str], reason: &str) {
+    assert_refused(&tidewall(args), reason);
 }
--- a/crates/tidewall-cli/tests/discovery_outage.rs
+++ b/crates/tidewall-cli/tests/discovery_outage.rs
@@ -1,33 +1,34 @@
-//! Seen: with discovery out of reach for longer than the time after which its news counts as known, gateways went on sending
-//! attempts and load requests to workers that had begun to drain just after the outage began.
-//! How it came about: the workers turned everything away at once, kept their place in each function's order, and were chosen
-//! again, by one request several times within milliseconds.
-//! Cause: the last endpoint list held without end. Nothing that rests on it asked how old it was.
-//! Proof: below, by what hosts and clients of real processes saw; each scenario broke on the text before the repair.
+//! Guards against gateways that trust an endpoint list of any age. When discovery is unreachable for longer
+//! than the time after which its updates count as known, such gateways go on sending attempts and load
+//! requests to workers that began to drain just after the outage began. These workers refuse everything at
+//! once, keep their rank for each function, and are chosen again, by one request several times within
+//! milliseconds. The tests judge only what hosts and clients of real processes observed.
 mod help;
 mod outage;
 
 use help::ms;
-use outage::{Fleet, Reach, TellsDrain, DRAIN_GRACE, SLACK, TOLD_AFTER};
+use outage::{Fleet, Reach, TellsDrain, DRAIN_GRACE, KNOWN_AFTER, SLACK};
 use std::time::{Duration, Instant};
 
 const GATEWAYS: usize = 3;
 const HOSTS: usize = 13;
-/// So few that one which comes back and gets what it got before is overloaded.
+/// So few that a host which restarts is overloaded by the load that it had before.
 const FEW_HOSTS: usize = 5;
-/// Before the outage, and the part of it over which the share that is served is measured.
+/// The time before the outage, and its last part, over which the served share is measured.
 const QUIET: Duration = ms(6_000);
 const MEASURED: Duration = ms(4_000);
-/// Well past the time by which everything counts as known, and the grace.
+/// Well beyond the time after which all updates count as known, plus the drain grace period.
 const OUTAGE: Duration = ms(16_000);
-/// Of the share that was served before the outage, so much is served past the grace: the workers that stay suffice.
+/// After the drain grace period at least this part of the share served before the outage is served: the
+/// remaining workers suffice.
 const SERVED: f64 = 0.8;
 
 fn sleep_until(at: Instant) {
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-/// Plays an outage in which these hosts drain so long after its beginning; `meanwhile` is played after them.
+/// Plays an outage in which these hosts start to drain this long after its beginning; `meanwhile` runs after
+/// that.
 fn play(
     (last, hosts): (u8, usize),
     tells: TellsDrain,
@@ -45,17 +46,17 @@
     meanwhile(&mut fleet, outage);
     sleep_until(outage + OUTAGE);
     fleet.reach(Reach::Answers);
-    // The board is found again, and what it tells is taken in.
+    // The gateways reach the board again and apply its notices.
     sleep_until(outage + OUTAGE + ms(4_000));
     fleet.finish();
     (fleet, outage)
 }
 
-/// The drain rule holds, and the service goes on.
-fn judge(fleet: &Fleet, outage: Instant, killed: &[usize]) {
-    let broken = fleet.sent_after_drain(outage + TOLD_AFTER);
+/// Asserts that nothing was sent to draining workers and that requests are served.
+fn assert_drained_and_served(fleet: &Fleet, outage: Instant, killed: &[usize]) {
+    let broken = fleet.sent_after_drain(outage + KNOWN_AFTER);
     let before = fleet.served(outage - MEASURED, outage);
-    let past = outage + TOLD_AFTER + DRAIN_GRACE + SLACK;
+    let past = outage + KNOWN_AFTER + DRAIN_GRACE + SLACK;
     let after = fleet.served(past, outage + OUTAGE);
     let back = fleet.served(outage + OUTAGE + ms(1_500), outage + OUTAGE + ms(4_000));
     let count = broken.len();
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn workers_that_drain_while_discovery_is_out_of_reach_get_nothing_new() {
+fn workers_that_drain_while_discovery_is_unreachable_get_nothing_new() {
     let (fleet, outage) = play(
         (101, HOSTS),
         TellsDrain::ByHealthCheck,
@@ -98,11 +99,11 @@
         (ms(1_400), &[3, 7]),
         |_, _| {},
     );
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
 }
 
 #[test]
-fn a_discovery_server_that_accepts_and_says_nothing_is_out_of_reach() {
+fn a_discovery_server_that_accepts_and_never_responds_is_unreachable() {
     let (fleet, outage) = play(
         (102, HOSTS),
         TellsDrain::ByQuery,
@@ -110,11 +111,11 @@
         (ms(1_400), &[3, 7]),
         |_, _| {},
     );
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
 }
 
 #[test]
-fn half_a_response_is_no_news() {
+fn an_incomplete_response_is_not_an_update() {
     let (fleet, outage) = play(
         (103, HOSTS),
         TellsDrain::ByHealthCheck,
@@ -122,10 +123,10 @@
         (ms(1_400), &[3, 7]),
         |_, _| {},
     );
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
 }
 
-/// The drain begins when the last list is long past its time: it counts from its own beginning.
+/// The drain begins long after the last list has expired: its grace period counts from its own beginning.
 #[test]
 fn workers_that_drain_late_in_an_outage_get_nothing_new() {
     let (fleet, outage) = play(
@@ -135,11 +136,11 @@
         (ms(8_500), &[3, 7]),
         |_, _| {},
     );
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
 }
 
 #[test]
-fn half_of_the_workers_drain_and_the_others_take_their_work() {
+fn half_of_the_workers_drain_and_the_others_take_their_load() {
     let half = [0, 2, 4, 6, 8, 10];
     let (fleet, outage) = play(
         (105, HOSTS),
@@ -148,10 +149,10 @@
         (ms(1_400), &half),
         |_, _| {},
     );
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
 }
 
-/// What the list would tell counts as known for starts too: a worker that comes back is cold.
+/// Unreachable updates count as known for restarts as well: a worker that restarts is in slow start.
 #[test]
 fn workers_that_come_back_in_an_outage_have_their_slow_start() {
     let (fleet, outage) = play(
@@ -169,11 +170,12 @@
         },
     );
     let overloaded = fleet.overloaded();
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
     assert!(overloaded.is_empty(), "{overloaded:?}");
 }
 
-/// All connections break and none comes about for a second: that is the network's fault, and the workers are as they were.
+/// All connections break and none is established for a second: a network fault, which leaves the workers
+/// unchanged.
 #[test]
 fn a_network_that_fails_for_a_moment_in_an_outage_does_not_end_the_service() {
     let (fleet, outage) = play(
@@ -190,12 +192,12 @@
             hosts.iter().for_each(|host| fleet.hosts[*host].rejoin());
         },
     );
-    judge(&fleet, outage, &[]);
+    assert_drained_and_served(&fleet, outage, &[]);
 }
 
-/// A gateway that starts in an outage knows the list of its configuration, and nothing of what became of it.
+/// A gateway that starts in an outage knows only the list of its configuration, and nothing of later changes.
 #[test]
-fn a_gateway_that_starts_in_an_outage_takes_its_list_for_as_old_as_it_is() {
+fn a_gateway_that_starts_in_an_outage_respects_the_age_of_its_list() {
     let (fleet, outage) = play(
         (107, HOSTS),
         TellsDrain::ByHealthCheck,
@@ -206,13 +208,13 @@
             fleet.restart_gateway(1);
         },
     );
-    judge(&fleet, outage, &[1]);
+    assert_drained_and_served(&fleet, outage, &[1]);
 }
 
-/// After SIGHUP the news of the new address counts as known in four seconds, whether it answers or not.
+/// After SIGHUP, updates of the new address count as known after four seconds, whether it responds or not.
 #[test]
-fn a_reload_to_an_address_that_never_answers_begins_an_outage() {
-    let silent: Vec<_> = (0..GATEWAYS).map(|_| help::free(108)).collect();
+fn a_reload_to_an_address_that_never_responds_begins_an_outage() {
+    let silent: Vec<_> = (0..GATEWAYS).map(|_| help::free_listener(108)).collect();
     let mut fleet = Fleet::start(108, GATEWAYS, HOSTS, TellsDrain::ByHealthCheck);
     let began = Instant::now() + QUIET;
     sleep_until(began);
@@ -225,10 +227,10 @@
     fleet.drain(&[3, 7]);
     sleep_until(outage + OUTAGE);
     fleet.finish();
-    let told = outage + ms(4_000);
-    let broken = fleet.sent_after_drain(told);
+    let known = outage + ms(4_000);
+    let broken = fleet.sent_after_drain(known);
     let before = fleet.served(outage - MEASURED, outage);
-    let after = fleet.served(told + DRAIN_GRACE + SLACK, outage + OUTAGE);
+    let after = fleet.served(known + DRAIN_GRACE + SLACK, outage + OUTAGE);
     println!(
         "{} sent after the grace; served {before:.2}, {after:.2}",
         broken.len()
--- a/crates/tidewall-cli/tests/endings_of_workers.rs
+++ b/crates/tidewall-cli/tests/endings_of_workers.rs
@@ -1,153 +1,175 @@
-//! Workers and lists that end, on the platform: what has provably not run goes on, what may have run goes by its type, and
-//! nothing leaves for a worker after it was told to be gone. Each crossing is forced.
+//! Workers and endpoint lists that fail, on the platform: an attempt that cannot have been executed is
+//! retried, one that may have been executed is retried by its class, and nothing is sent to a worker after
+//! the list reported that it drains or is removed. The tests force the order of events.
 mod help;
 
 use help::*;
 use std::time::Duration;
 use test_case::{test_case, test_matrix};
 
-/// How a launch's connection ends, and when.
+/// How the connection of an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ends {
+enum ConnectionEnd {
     Fin,
     Reset,
 }
 
-fn end(link: Side, how: Ends) {
+fn end(link: Connection, how: ConnectionEnd) {
     match how {
-        Ends::Fin => drop(link),
-        Ends::Reset => link.reset(),
+        ConnectionEnd::Fin => drop(link),
+        ConnectionEnd::Reset => link.reset(),
     }
 }
 
-/// Serves what comes on any connection of the workers until the client has its word.
-fn serve(p: &Platform, client: &mut Side, links: &mut Vec<Side>) -> (String, usize) {
-    let mut launches = 0;
+/// Answers the attempts on all connections of the workers until the client has its response; returns its word
+/// and the number of attempts.
+fn serve(p: &Platform, client: &mut Connection, links: &mut Vec<Connection>) -> (String, usize) {
+    let mut attempts = 0;
     for _ in 0..400 {
         links.extend(p.workers.iter().filter_map(|w| accept(w, ms(1))));
         for link in links.iter_mut() {
-            if let Some(trace) = link.go(ms(1)) {
-                launches += 1;
-                link.says(&trace, "ok");
+            if let Some(trace) = link.next_attempt_trace(ms(1)) {
+                attempts += 1;
+                link.respond(&trace, "ok");
             }
         }
-        if let Some((_, word)) = client.answer(ms(5)) {
-            return (word, launches);
+        if let Some((_, word)) = client.next_response(ms(5)) {
+            return (word, attempts);
         }
     }
     panic!("no answer: {}", p.gateway.log());
 }
 
-/// The worker ends the connection at once when it comes up, before the first byte of a launch has left: not run. The gateway
-/// stands still meanwhile, so that the end lies there when it goes on.
-#[test_case("check", Ends::Fin, 60)]
-#[test_case("record", Ends::Reset, 61)]
-#[test_case("issue", Ends::Reset, 62)]
-#[test_case("issue", Ends::Fin, 63)]
-fn an_end_before_the_first_byte(typ: &str, how: Ends, last: u8) {
-    let p = platform(last, 2);
+/// The worker closes an idle connection before the first byte of an attempt is sent on it: the attempt was
+/// not executed and is retried. The gateway is stopped meanwhile, so that the end has arrived when it
+/// continues.
+#[test_case("check", ConnectionEnd::Fin, 60)]
+#[test_case("record", ConnectionEnd::Reset, 61)]
+#[test_case("issue", ConnectionEnd::Reset, 62)]
+#[test_case("issue", ConnectionEnd::Fin, 63)]
+fn an_end_before_the_first_byte(class: &str, how: ConnectionEnd, octet: u8) {
+    let p = platform(octet, 2);
     let mut client = p.client();
-    // An idle connection, which is what the next launch would ride on.
-    let mut link = p.launched(&mut client, 1, "check");
-    link.says("0000000000000001", "ok");
-    assert_eq!(client.answer(LONG), Some((1, "OK".to_string())));
-    p.gateway.still(true);
-    // It waits for long: one that lay unread for a quarter of its time would be refused.
-    client.send(call(2, typ, 20_000));
+    // An idle connection, which the next attempt would use.
+    let mut link = p.start_attempt(&mut client, 1, "check");
+    link.respond("0000000000000001", "ok");
+    assert_eq!(
+        client.next_response(LONG_TIMEOUT),
+        Some((1, "OK".to_string()))
+    );
+    p.gateway.set_stopped(true);
+    // A long deadline: a call that stayed unread for a quarter of its time would be refused.
+    client.send(call(2, class, 20_000));
     end(link, how);
-    // A busy machine's system delivers it some milliseconds later, and its table may lack rows while others come and go.
+    // On a busy machine the end arrives some milliseconds later, and `/proc/net/tcp` may lack rows while
+    // others change.
     let mut absences = 0;
-    until("the end has arrived", || {
-        let standing = p.workers.iter().map(standing).sum::<usize>();
-        absences = if standing == 0 { absences + 1 } else { 0 };
+    wait_until("the end has arrived", || {
+        let open = p.workers.iter().map(open_connections).sum::<usize>();
+        absences = if open == 0 { absences + 1 } else { 0 };
         absences == 5
     });
-    p.gateway.still(false);
-    let (word, launches) = serve(&p, &mut client, &mut Vec::new());
-    assert_eq!((word.as_str(), launches), ("OK", 1), "{}", p.gateway.log());
+    p.gateway.set_stopped(false);
+    let (word, attempts) = serve(&p, &mut client, &mut Vec::new());
+    assert_eq!((word.as_str(), attempts), ("OK", 1), "{}", p.gateway.log());
 }
 
-/// After the last byte it may have run: redeliverable and keyed ones go again, at-most-once fails.
-#[test_case("check", Ends::Fin, true, 64)]
-#[test_case("check", Ends::Reset, true, 65)]
-#[test_case("record", Ends::Reset, true, 66)]
-#[test_case("issue", Ends::Fin, false, 67)]
-#[test_case("issue", Ends::Reset, false, 68)]
-fn an_end_after_the_last_byte(typ: &str, how: Ends, again: bool, last: u8) {
-    let p = platform(last, 2);
+/// After the last byte the attempt may have been executed: redeliverable and keyed requests are retried,
+/// at-most-once ones fail.
+#[test_case("check", ConnectionEnd::Fin, true, 64)]
+#[test_case("check", ConnectionEnd::Reset, true, 65)]
+#[test_case("record", ConnectionEnd::Reset, true, 66)]
+#[test_case("issue", ConnectionEnd::Fin, false, 67)]
+#[test_case("issue", ConnectionEnd::Reset, false, 68)]
+fn an_end_after_the_last_byte(class: &str, how: ConnectionEnd, again: bool, octet: u8) {
+    let p = platform(octet, 2);
     let mut client = p.client();
-    let link = p.launched(&mut client, 1, typ);
+    let link = p.start_attempt(&mut client, 1, class);
     end(link, how);
-    let (word, launches) = serve(&p, &mut client, &mut Vec::new());
+    let (word, attempts) = serve(&p, &mut client, &mut Vec::new());
     assert_eq!(
-        (word.as_str(), launches),
+        (word.as_str(), attempts),
         if again { ("OK", 1) } else { ("FAILED", 0) }
     );
 }
 
-/// In the middle of an answer, or with one that is spoilt.
+/// The connection ends within a response, or after a malformed one.
 #[test_matrix(["check", "record", "issue"], ["ok res=hit 10\r\nhal", "ok res=hit 2\r\nyes\r\n", "ok res=hi"])]
-fn an_answer_that_is_cut_or_spoilt(typ: &str, says: &str) {
-    let last = 70
+fn a_truncated_or_malformed_response(class: &str, says: &str) {
+    let octet = 70
         + says.len() as u8
         + ["check", "record", "issue"]
             .iter()
-            .position(|t| *t == typ)
+            .position(|t| *t == class)
             .unwrap() as u8;
-    let p = platform(last, 2);
+    let p = platform(octet, 2);
     let mut client = p.client();
-    let mut link = p.launched(&mut client, 1, typ);
+    let mut link = p.start_attempt(&mut client, 1, class);
     link.send(format!("0000000000000001 {says}"));
     link.reset();
-    let (word, launches) = serve(&p, &mut client, &mut Vec::new());
+    let (word, attempts) = serve(&p, &mut client, &mut Vec::new());
     assert_eq!(
-        (word.as_str(), launches),
-        if typ == "issue" {
+        (word.as_str(), attempts),
+        if class == "issue" {
             ("FAILED", 0)
         } else {
             ("OK", 1)
         }
     );
-    assert_eq!(client.answer(ms(50)), None);
+    assert_eq!(client.next_response(ms(50)), None);
 }
 
-/// A second copy of a good answer some milliseconds later, and an answer of one that was given up: dropped, and the connection
-/// goes on.
+/// A response that is repeated some milliseconds later, and the response to an abandoned attempt, are
+/// dropped, and the connection stays open.
 #[test_case("check")]
 #[test_case("issue")]
-fn an_answer_that_comes_twice_or_late(typ: &str) {
-    let p = platform(if typ == "check" { 95 } else { 96 }, 1);
+fn a_repeated_or_late_response_is_dropped(class: &str) {
+    let p = platform(if class == "check" { 95 } else { 96 }, 1);
     let mut client = p.client();
-    let mut link = p.launched(&mut client, 1, typ);
+    let mut link = p.start_attempt(&mut client, 1, class);
     for tag in 1..5u64 {
         let trace = format!("{tag:016x}");
-        link.says(&trace, "ok");
-        assert_eq!(client.answer(LONG), Some((tag, "OK".to_string())));
+        link.respond(&trace, "ok");
+        assert_eq!(
+            client.next_response(LONG_TIMEOUT),
+            Some((tag, "OK".to_string()))
+        );
         std::thread::sleep(ms(4));
-        link.says(&trace, "ok");
-        link.says("00000000000000aa", "ok");
-        client.send(call(tag + 1, typ, 2000));
-        assert_eq!(link.go(LONG), Some(format!("{:016x}", tag + 1)));
+        link.respond(&trace, "ok");
+        link.respond("00000000000000aa", "ok");
+        client.send(call(tag + 1, class, 2000));
+        assert_eq!(
+            link.next_attempt_trace(LONG_TIMEOUT),
+            Some(format!("{:016x}", tag + 1))
+        );
     }
     client.send(cancel(5));
-    assert!(link.halted("0000000000000005", LONG));
-    link.says("0000000000000005", "ok");
-    client.send(call(6, typ, 2000));
-    assert_eq!(link.go(LONG), Some("0000000000000006".to_string()));
-    link.says("0000000000000006", "ok");
-    assert_eq!(client.answer(LONG), Some((6, "OK".to_string())));
+    assert!(link.receives_halt("0000000000000005", LONG_TIMEOUT));
+    link.respond("0000000000000005", "ok");
+    client.send(call(6, class, 2000));
+    assert_eq!(
+        link.next_attempt_trace(LONG_TIMEOUT),
+        Some("0000000000000006".to_string())
+    );
+    link.respond("0000000000000006", "ok");
+    assert_eq!(
+        client.next_response(LONG_TIMEOUT),
+        Some((6, "OK".to_string()))
+    );
 }
 
-/// The window of "record" is 600 ms from its first launch, and what leaves may leave 250 ms after it is decided: a break after
-/// 400 ms comes too late for another launch, one after 50 ms does not; a miss proves that nothing ran, whenever it comes. (With two workers one more launch would go beside a late one.)
+/// The key window of "record" is 600 ms from its first attempt, and an attempt may be sent up to 250 ms after
+/// the decision: a reset after 400 ms comes too late for another attempt, one after 50 ms does not. A miss
+/// proves that nothing was executed, whenever it comes. (With two workers, one more attempt would be sent
+/// beside a late one.)
 #[test_case(50, "reset", true, 100)]
 #[test_case(400, "reset", false, 101)]
 #[test_case(700, "reset", false, 102)]
 #[test_case(700, "nothing", true, 103)]
-fn a_short_window_of_repeats(after: u64, how: &str, again: bool, last: u8) {
-    let p = platform(last, if how == "reset" { 1 } else { 2 });
+fn retries_end_with_the_key_window(after: u64, how: &str, again: bool, octet: u8) {
+    let p = platform(octet, if how == "reset" { 1 } else { 2 });
     let mut client = p.client();
-    let mut link = p.launched(&mut client, 1, "record");
+    let mut link = p.start_attempt(&mut client, 1, "record");
     std::thread::sleep(ms(after));
     let mut links = Vec::new();
     match how {
@@ -157,61 +179,68 @@
             links.push(link);
         }
     }
-    let (word, launches) = serve(&p, &mut client, &mut links);
+    let (word, attempts) = serve(&p, &mut client, &mut links);
     assert_eq!(
-        (word.as_str(), launches),
+        (word.as_str(), attempts),
         if again { ("OK", 1) } else { ("FAILED", 0) }
     );
 }
 
-/// A connection that comes up a second late brings what still waits for it, once; one that never comes up within its time
-/// leaves the event to the other worker, and nothing old is written when its system answers after all.
+/// A connection that is established a second late carries the attempt that still waits for it, once. If it is
+/// not established within the connect timeout, the request goes to the other worker, and nothing is written
+/// when the connection is established after all.
 #[test_matrix(["check", "record", "issue"], [1_900.0, 250.0])]
-fn a_connection_that_comes_up_late(typ: &str, within: f64) {
-    let last = 110
+fn a_connection_that_is_established_late(class: &str, connect_timeout_ms: f64) {
+    let octet = 110
         + 2 * ["check", "record", "issue"]
             .iter()
-            .position(|t| *t == typ)
+            .position(|t| *t == class)
             .unwrap() as u8;
     let settings = SETTINGS.replace(
         "\"connect-timeout-ms\":250.0",
-        &format!("\"connect-timeout-ms\":{within}"),
+        &format!("\"connect-timeout-ms\":{connect_timeout_ms}"),
+    );
+    let p = platform_with(
+        octet + u8::from(connect_timeout_ms < 300.0),
+        2,
+        &settings,
+        256,
     );
-    let p = platform_with(last + u8::from(within < 300.0), 2, &settings, 256);
-    let fillers = p.workers.iter().map(filled).collect::<Vec<_>>();
+    let fillers = p.workers.iter().map(fill_backlog).collect::<Vec<_>>();
     let mut client = p.client();
-    client.send(call(1, typ, 4000));
-    until("it is launched", || {
+    client.send(call(1, class, 4000));
+    wait_until("the attempt is started", || {
         p.gateway.log().contains(" attempt started ")
     });
     drop(fillers);
-    let (mut launches, mut links) = (0, Vec::new());
+    let (mut attempts, mut links) = (0, Vec::new());
     let until = std::time::Instant::now() + ms(2_500);
     while std::time::Instant::now() < until {
         links.extend(p.workers.iter().filter_map(|w| accept(w, ms(1))));
         for link in &mut links {
-            if let Some(trace) = link.go(ms(1)) {
-                launches += 1;
-                link.says(&trace, "ok");
+            if let Some(trace) = link.next_attempt_trace(ms(1)) {
+                attempts += 1;
+                link.respond(&trace, "ok");
             }
         }
     }
     assert_eq!(
-        client.answer(LONG),
+        client.next_response(LONG_TIMEOUT),
         Some((1, "OK".to_string())),
         "{}",
         p.gateway.log()
     );
-    // Redeliverable ones may be out twice here, once overdue.
+    // A redeliverable request may have two attempts here, once the first one is overdue.
     assert!(
-        launches == 1 || typ != "issue" && launches == 2,
-        "{launches}"
+        attempts == 1 || class != "issue" && attempts == 2,
+        "{attempts}"
     );
 }
 
-/// What a list did when it ended, told, moved or fell silent, with a drain told just then: nothing more goes to the worker.
+/// What the notice board does just before it reports that a worker drains: in each case nothing more is sent
+/// to the worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Watch {
+enum BoardBehavior {
     Stands,
     Silent,
     Cut,
@@ -220,73 +249,91 @@
     Skips,
 }
 
-const SILENT: Duration = ms(2_500);
+const POLL_RETRY_TIMEOUT: Duration = ms(2_500);
 
-#[test_case(Watch::Stands, 120)]
-#[test_case(Watch::Silent, 121)]
-#[test_case(Watch::Cut, 122)]
-#[test_case(Watch::Moves, 123)]
-#[test_case(Watch::Repeats, 124)]
-#[test_case(Watch::Skips, 125)]
-fn a_drain_told_as_the_watch_ends(watch: Watch, last: u8) {
-    let p = platform(last, 2);
+#[test_case(BoardBehavior::Stands, 120)]
+#[test_case(BoardBehavior::Silent, 121)]
+#[test_case(BoardBehavior::Cut, 122)]
+#[test_case(BoardBehavior::Moves, 123)]
+#[test_case(BoardBehavior::Repeats, 124)]
+#[test_case(BoardBehavior::Skips, 125)]
+fn a_drain_is_honoured_whatever_the_board_does(behavior: BoardBehavior, octet: u8) {
+    let p = platform(octet, 2);
     let at: Vec<_> = p.workers.iter().map(|w| w.local_addr().unwrap()).collect();
-    let mut poll = accept(&p.board, LONG).unwrap();
-    assert_eq!(poll.poll(LONG), Some(1));
-    let drain = |rev| notice(rev, &hosts(0, &at[..1], "draining"), false);
-    let told = board_says(2, &[drain(2)]);
+    let mut poll = accept(&p.board, LONG_TIMEOUT).unwrap();
+    assert_eq!(poll.poll(LONG_TIMEOUT), Some(1));
+    let drain = |rev| notice(rev, &host_entries(0, &at[..1], "draining"), false);
+    let drain_response = board_response(2, &[drain(2)]);
     let mut other = None;
-    let mut next = match watch {
-        Watch::Stands => {
-            poll.send(&told);
+    let mut next = match behavior {
+        BoardBehavior::Stands => {
+            poll.send(&drain_response);
             poll
         }
-        Watch::Silent => {
-            let mut next = accept(&p.board, SILENT).expect("it asks on a fresh connection");
-            assert_eq!(next.poll(LONG), Some(1));
-            next.send(&told);
-            // The old one's word comes late: it is nobody's any more.
-            poll.send(board_says(2, &[notice(2, &hosts(0, &at, "removed"), true)]));
+        BoardBehavior::Silent => {
+            let mut next =
+                accept(&p.board, POLL_RETRY_TIMEOUT).expect("it asks on a fresh connection");
+            assert_eq!(next.poll(LONG_TIMEOUT), Some(1));
+            next.send(&drain_response);
+            // A late response on the old connection is ignored.
+            poll.send(board_response(
+                2,
+                &[notice(2, &host_entries(0, &at, "removed"), true)],
+            ));
             next
         }
-        Watch::Cut => {
-            poll.send(&told[..told.len() - 9]);
+        BoardBehavior::Cut => {
+            poll.send(&drain_response[..drain_response.len() - 9]);
             poll.reset();
-            let mut next = accept(&p.board, SILENT).expect("it asks again");
-            assert_eq!(next.poll(LONG), Some(1), "nothing of what was cut is taken");
-            next.send(&told);
+            let mut next = accept(&p.board, POLL_RETRY_TIMEOUT).expect("it asks again");
+            assert_eq!(
+                next.poll(LONG_TIMEOUT),
+                Some(1),
+                "nothing of what was cut is taken"
+            );
+            next.send(&drain_response);
             next
         }
-        Watch::Moves => {
-            let board = free(last);
-            p.moved(&board);
-            let mut next = accept(&board, LONG).expect("it asks there");
-            assert_eq!(next.poll(LONG), Some(1));
-            poll.send(board_says(2, &[notice(2, &hosts(0, &at, "removed"), true)]));
-            next.send(&told);
+        BoardBehavior::Moves => {
+            let board = free_listener(octet);
+            p.move_board(&board);
+            let mut next = accept(&board, LONG_TIMEOUT).expect("it asks there");
+            assert_eq!(next.poll(LONG_TIMEOUT), Some(1));
+            poll.send(board_response(
+                2,
+                &[notice(2, &host_entries(0, &at, "removed"), true)],
+            ));
+            next.send(&drain_response);
             other = Some(board);
             next
         }
-        Watch::Repeats => {
-            poll.send(board_says(1, &[notice(1, &hosts(0, &at, "up"), true)]));
-            assert_eq!(poll.poll(LONG), Some(1));
-            poll.send(&told);
-            assert_eq!(poll.poll(LONG), Some(2));
-            poll.send(&told);
+        BoardBehavior::Repeats => {
+            poll.send(board_response(
+                1,
+                &[notice(1, &host_entries(0, &at, "up"), true)],
+            ));
+            assert_eq!(poll.poll(LONG_TIMEOUT), Some(1));
+            poll.send(&drain_response);
+            assert_eq!(poll.poll(LONG_TIMEOUT), Some(2));
+            poll.send(&drain_response);
             poll
         }
-        Watch::Skips => {
-            poll.send(board_says(
+        BoardBehavior::Skips => {
+            poll.send(board_response(
                 4,
-                &[notice(4, &hosts(1, &at[1..], "up"), false)],
+                &[notice(4, &host_entries(1, &at[1..], "up"), false)],
             ));
-            assert_eq!(poll.poll(LONG), Some(0), "what lies between is asked for");
-            let whole = notice(1, &hosts(0, &at, "up"), true);
-            poll.send(board_says(2, &[whole, drain(2)]));
+            assert_eq!(
+                poll.poll(LONG_TIMEOUT),
+                Some(0),
+                "what lies between is asked for"
+            );
+            let whole = notice(1, &host_entries(0, &at, "up"), true);
+            poll.send(board_response(2, &[whole, drain(2)]));
             poll
         }
     };
-    assert_eq!(next.poll(LONG), Some(2));
+    assert_eq!(next.poll(LONG_TIMEOUT), Some(2));
     let mut client = p.client();
     for tag in 1..20 {
         client.send(call(tag, "check", 2000));
@@ -295,47 +342,54 @@
         accept(&p.workers[0], ms(200)).is_none(),
         "it was told to drain"
     );
-    let mut link = accept(&p.workers[1], LONG).expect("the other one serves");
+    let mut link = accept(&p.workers[1], LONG_TIMEOUT).expect("the other one serves");
     for _ in 1..20 {
-        if let Some(trace) = link.go(ms(300)) {
-            link.says(&trace, "ok");
+        if let Some(trace) = link.next_attempt_trace(ms(300)) {
+            link.respond(&trace, "ok");
         }
     }
-    assert!(client.answer(LONG).is_some());
+    assert!(client.next_response(LONG_TIMEOUT).is_some());
     assert!(accept(&p.workers[0], ms(50)).is_none());
     drop(other);
 }
 
-/// A new worker at an old one's address: what is for it goes by a connection of its own, and what waited for the old one does
-/// not go to it as if it were the old one's.
+/// A new worker replaces an old one at the same address: attempts for the new worker use a new connection,
+/// and those of the old one are not attributed to it.
 #[test]
 fn a_new_worker_at_an_old_address() {
     let p = platform(126, 1);
     let at = [p.workers[0].local_addr().unwrap()];
-    let mut poll = accept(&p.board, LONG).unwrap();
-    assert_eq!(poll.poll(LONG), Some(1));
+    let mut poll = accept(&p.board, LONG_TIMEOUT).unwrap();
+    assert_eq!(poll.poll(LONG_TIMEOUT), Some(1));
     let mut client = p.client();
-    let mut old = p.launched(&mut client, 1, "issue");
+    let mut old = p.start_attempt(&mut client, 1, "issue");
     let changes = [
-        notice(2, &hosts(0, &at, "removed"), false),
-        notice(3, &hosts(7, &at, "up"), false),
+        notice(2, &host_entries(0, &at, "removed"), false),
+        notice(3, &host_entries(7, &at, "up"), false),
     ];
-    poll.send(board_says(3, &changes));
-    assert_eq!(poll.poll(LONG), Some(3));
+    poll.send(board_response(3, &changes));
+    assert_eq!(poll.poll(LONG_TIMEOUT), Some(3));
     client.send(call(2, "check", 2000));
-    let mut new = accept(&p.workers[0], LONG).expect("a connection of its own");
-    assert_eq!(new.go(LONG).as_deref(), Some("0000000000000002"));
-    new.says("0000000000000002", "ok");
-    old.says("0000000000000001", "ok");
-    let mut answers = [client.answer(LONG), client.answer(LONG)];
+    let mut new = accept(&p.workers[0], LONG_TIMEOUT).expect("a connection of its own");
+    assert_eq!(
+        new.next_attempt_trace(LONG_TIMEOUT).as_deref(),
+        Some("0000000000000002")
+    );
+    new.respond("0000000000000002", "ok");
+    old.respond("0000000000000001", "ok");
+    let mut answers = [
+        client.next_response(LONG_TIMEOUT),
+        client.next_response(LONG_TIMEOUT),
+    ];
     answers.sort();
     assert_eq!(answers, [1, 2].map(|tag| Some((tag, "OK".to_string()))));
 }
 
-/// A new version on a quiet day: its id was never seen, no copy stands. Its first events cost a miss at most each, the order goes
-/// out, and they are handled when it stands; the old version is served all the while.
+/// A new version of a function, with an id that was never seen and no instance loaded: its first requests
+/// cost at most one miss each, a load request is sent, and they are handled once the instance is loaded. The
+/// old version is served all the time.
 #[test]
-fn a_new_version_on_a_quiet_day() {
+fn a_new_function_version_costs_few_misses() {
     let settings = SETTINGS.replace("\"orders\":false", "\"orders\":true");
     let p = platform_with(
         127,
@@ -347,14 +401,14 @@
     let (mut client, mut links) = (p.client(), Vec::new());
     let (mut loaded, mut misses, mut words) = (vec![old.to_string()], 0, Vec::new());
     for tag in 1..=20u64 {
-        // The release comes after the fifth.
+        // The new version is released after the fifth request.
         let function = if tag > 5 && tag % 2 == 0 { new } else { old };
         client.send(call_of(tag, "check", 2000, function, "body"));
-        let end = std::time::Instant::now() + LONG;
+        let end = std::time::Instant::now() + LONG_TIMEOUT;
         loop {
             links.extend(accept(&p.workers[0], ms(1)));
             for link in &mut links {
-                let Some(line) = link.line(ms(1)) else {
+                let Some(line) = link.next_line(ms(1)) else {
                     continue;
                 };
                 let of = line
@@ -364,13 +418,13 @@
                     .to_string();
                 let name = line.split(' ').nth(1).unwrap_or_default();
                 match line.split(' ').next().unwrap_or_default() {
-                    "go" if loaded.contains(&of) => link.says(name, "ok"),
+                    "go" if loaded.contains(&of) => link.respond(name, "ok"),
                     "go" => {
                         misses += 1;
                         link.send(format!("{name} nothing - 0\r\n\r\n"));
                     }
                     "stage" => {
-                        // An order loads at once, an ask changes nothing.
+                        // A load request loads at once, a query changes nothing.
                         if !line.contains("copies=0") && !loaded.contains(&of) {
                             loaded.push(of.clone());
                         }
@@ -380,7 +434,7 @@
                     _ => {}
                 }
             }
-            if let Some((_, word)) = client.answer(ms(1)) {
+            if let Some((_, word)) = client.next_response(ms(1)) {
                 words.push(word);
                 break;
             }
--- a/crates/tidewall-cli/tests/help/mod.rs
+++ b/crates/tidewall-cli/tests/help/mod.rs
@@ -1,6 +1,7 @@
-//! The shipped binary as a process, with workers, list and clients that the test plays by hand: each side is held until the
-//! other has reached the point that is wanted, as a byte that came shows.
-#![allow(dead_code)] // each test file uses a part
+//! Runs the shipped binary as a process, with workers, discovery and clients played by the test. The test
+//! controls the order of events: it waits until received bytes show that the gateway has reached the wanted
+//! point.
+#![allow(dead_code)] // each test file uses only a part
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,46 +13,47 @@
 use std::time::{Duration, Instant};
 use tidewall_wire::{self as wire, kind, Entries, Field, Fields, Frame};
 
-/// A launch that begins later than this after its client left breaks the users' term.
-pub const LEFT: Duration = Duration::from_millis(100);
+/// No attempt may start later than this after its client left.
+pub const ABANDON_LIMIT: Duration = Duration::from_millis(100);
 
-/// Longer than anything that is awaited takes.
-pub const LONG: Duration = Duration::from_secs(10);
+/// Longer than any awaited event takes.
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A listener on a free port of a loopback address that one test alone uses.
-pub fn free(last: u8) -> TcpListener {
-    TcpListener::bind(SocketAddr::from(([127, 0, 1, last], 0))).unwrap()
+/// A listener on a free port of a loopback address, 127.0.1.`octet`, that only one test uses.
+pub fn free_listener(octet: u8) -> TcpListener {
+    TcpListener::bind(SocketAddr::from(([127, 0, 1, octet], 0))).unwrap()
 }
 
-/// A free port of such an address, for the gateway. It is not listened on here: a process that another test has forked and not
-/// yet executed would keep the listener for a moment, accept the test's clients, and hold the port.
-pub fn address(last: u8) -> SocketAddr {
+/// A free port of such an address, for the gateway. No listener is opened here: a process that another test
+/// has forked but that has not yet called exec would inherit it, accept the test's clients, and hold the
+/// port.
+pub fn free_address(octet: u8) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    // So that the gateway may bind it where such a process still holds it.
+    // So that the gateway can bind the port even while such a process holds it.
     socket.set_reuse_address(true).unwrap();
-    let any_port = SocketAddr::from(([127, 0, 1, last], 0));
+    let any_port = SocketAddr::from(([127, 0, 1, octet], 0));
     socket.bind(&any_port.into()).unwrap();
     socket.local_addr().unwrap().as_socket().unwrap()
 }
 
-/// Waits until it holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until the condition holds; panics with this description after a timeout.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + LONG_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "{description}");
         std::thread::sleep(ms(2));
     }
 }
 
-/// Ends the process by its own id, however the test ends.
+/// A gateway process, which is killed when the test ends.
 pub struct Gateway {
     child: Child,
     pub at: SocketAddr,
-    told: Arc<Mutex<String>>,
+    log_text: Arc<Mutex<String>>,
     _folder: Option<tempfile::TempDir>,
 }
 
@@ -63,16 +65,18 @@
 }
 
 impl Gateway {
-    /// 0 is none.
+    /// Sends a signal to the process; 0 sends none.
     pub fn signal(&self, signal: i32) {
-        // SAFETY: the process is our own child and not waited for yet.
+        // SAFETY: the process is our child and has not been waited for.
         unsafe { libc::kill(self.child.id() as i32, signal) };
     }
 
-    /// Lets it stand still; back once the system says that it does.
-    pub fn still(&self, on: bool) {
+    /// Stops or continues the process, and waits until the system reports it.
+    pub fn set_stopped(&self, on: bool) {
         self.signal(if on { libc::SIGSTOP } else { libc::SIGCONT });
-        until("it stands still", || (self.state() == "T") == on);
+        wait_until("the process is stopped or continued", || {
+            (self.state() == "T") == on
+        });
     }
 
     fn state(&self) -> String {
@@ -80,20 +84,20 @@
         stat.rsplit(") ").next().unwrap()[..1].to_string()
     }
 
-    /// How it ended, and how long that took from now.
-    pub fn ended(&mut self) -> (Option<i32>, Duration) {
+    /// Waits for the process to exit; returns its exit code and how long it took.
+    pub fn wait_for_exit(&mut self) -> (Option<i32>, Duration) {
         let from = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return (status.code(), from.elapsed());
             }
-            assert!(from.elapsed() < LONG, "it goes on");
+            assert!(from.elapsed() < LONG_TIMEOUT, "the process still runs");
             std::thread::sleep(ms(2));
         }
     }
 
     pub fn log(&self) -> String {
-        self.told.lock().unwrap().clone()
+        self.log_text.lock().unwrap().clone()
     }
 
     pub fn kill(&mut self) {
@@ -127,7 +131,8 @@
             rlim_cur: limit,
             rlim_max: limit,
         };
-        // SAFETY: setrlimit may be called between fork and exec, and its argument lives as long as the command.
+        // SAFETY: setrlimit may be called between fork and exec, and its argument lives as long as the
+        // command.
         unsafe {
             command.pre_exec(move || match libc::setrlimit(libc::RLIMIT_NOFILE, &limit) {
                 0 => Ok(()),
@@ -139,71 +144,74 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let told = Arc::new(Mutex::new(String::new()));
-        let (to, lines) = (told.clone(), BufReader::new(child.stderr.take().unwrap()));
+        let log_text = Arc::new(Mutex::new(String::new()));
+        let (to, lines) = (
+            log_text.clone(),
+            BufReader::new(child.stderr.take().unwrap()),
+        );
         std::thread::spawn(move || {
             lines.lines().map_while(Result::ok).for_each(|l| {
-                let mut told = to.lock().unwrap();
-                told.push_str(&l);
-                told.push('\n');
+                let mut log_text = to.lock().unwrap();
+                log_text.push_str(&l);
+                log_text.push('\n');
             })
         });
         Gateway {
             child,
             at,
-            told,
+            log_text,
             _folder: folder,
         }
     }
 }
 
-/// Sockets of one test: the side that the gateway does not play.
-pub struct Side {
+/// A connection to or from the gateway, played by the test.
+pub struct Connection {
     stream: TcpStream,
-    got: Vec<u8>,
-    over: bool,
-    /// By a reset.
-    broke: bool,
+    received: Vec<u8>,
+    closed: bool,
+    /// It was closed by a reset.
+    closed_by_reset: bool,
 }
 
-impl Side {
-    pub fn new(stream: TcpStream) -> Side {
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
         stream.set_nodelay(true).unwrap();
-        Side {
+        Connection {
             stream,
-            got: Vec::new(),
-            over: false,
-            broke: false,
+            received: Vec::new(),
+            closed: false,
+            closed_by_reset: false,
         }
     }
 
-    pub fn connect(at: SocketAddr) -> Side {
-        let end = Instant::now() + LONG;
+    pub fn connect(at: SocketAddr) -> Connection {
+        let end = Instant::now() + LONG_TIMEOUT;
         loop {
             match TcpStream::connect(at) {
-                Ok(stream) => return Side::new(stream),
+                Ok(stream) => return Connection::new(stream),
                 Err(e) => assert!(Instant::now() < end, "{at}: {e}"),
             }
             std::thread::sleep(ms(5));
         }
     }
 
-    /// What the other side has ended already goes nowhere.
+    /// Sends bytes; they are lost if the other side has closed the connection.
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
         let _ = self.stream.write_all(bytes.as_ref());
     }
 
-    /// Where it connects from.
+    /// Its local address.
     pub fn address(&self) -> SocketAddr {
         self.stream.local_addr().unwrap()
     }
 
-    /// Its half is over; it may still read.
-    pub fn fin(&self) {
+    /// Closes the sending half; reading is still possible.
+    pub fn close_write(&self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Ends by a reset, whatever lies unread.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let linger = libc::linger {
             l_onoff: 1,
@@ -216,78 +224,78 @@
         option(&self.stream, name, value);
     }
 
-    /// Takes in no more than so many bytes, or twice that, that are not read.
-    pub fn narrow(&self, bytes: i32) {
+    /// Limits the receive buffer to this many unread bytes, or twice as many.
+    pub fn limit_receive_buffer(&self, bytes: i32) {
         self.option(libc::SO_RCVBUF, &bytes);
     }
 
-    /// All that comes up to the other side's end, while it goes on saying something for as long as it can.
-    pub fn all(&mut self, mut says: impl FnMut(&mut Side)) -> String {
-        let end = Instant::now() + LONG;
-        while !self.over && Instant::now() < end {
+    /// Reads to the end of the connection; calls `write` after each read until then.
+    pub fn read_to_end(&mut self, mut write: impl FnMut(&mut Connection)) -> String {
+        let end = Instant::now() + LONG_TIMEOUT;
+        while !self.closed && Instant::now() < end {
             self.read(ms(10));
-            if !self.over {
-                says(self);
+            if !self.closed {
+                write(self);
             }
         }
-        String::from_utf8_lossy(&self.got).to_string()
+        String::from_utf8_lossy(&self.received).to_string()
     }
 
     pub fn is_over(&self) -> bool {
-        self.over
+        self.closed
     }
 
-    /// Its stream, to be written to from elsewhere.
+    /// A second handle of the stream, for writing.
     pub fn writer(&self) -> TcpStream {
         self.stream.try_clone().unwrap()
     }
 
     pub fn was_reset(&self) -> bool {
-        self.broke
+        self.closed_by_reset
     }
 
-    /// Reads what comes within that time, once; false where nothing came.
+    /// Reads once, within that time; false if the connection has ended or no time is left.
     fn read(&mut self, within: Duration) -> bool {
-        if self.over || within.is_zero() {
+        if self.closed || within.is_zero() {
             return false;
         }
         self.stream.set_read_timeout(Some(within)).unwrap();
         let mut chunk = [0; 65536];
         match self.stream.read(&mut chunk) {
-            Ok(0) => self.over = true,
-            Ok(n) => self.got.extend_from_slice(&chunk[..n]),
+            Ok(0) => self.closed = true,
+            Ok(n) => self.received.extend_from_slice(&chunk[..n]),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            Err(_) => (self.over, self.broke) = (true, true),
+            Err(_) => (self.closed, self.closed_by_reset) = (true, true),
         }
-        !self.over
+        !self.closed
     }
 
-    /// The next message that `cut` finds at the start of what was read, within a time.
+    /// The next message that `parse` finds at the start of the received bytes, within that time.
     pub fn next<T>(
         &mut self,
         within: Duration,
-        cut: impl Fn(&[u8]) -> Option<(T, usize)>,
+        parse: impl Fn(&[u8]) -> Option<(T, usize)>,
     ) -> Option<T> {
         let end = Instant::now() + within;
         loop {
-            if let Some((found, len)) = cut(&self.got) {
-                self.got.drain(..len);
+            if let Some((found, len)) = parse(&self.received) {
+                self.received.drain(..len);
                 return Some(found);
             }
-            if Instant::now() >= end || self.over {
+            if Instant::now() >= end || self.closed {
                 return None;
             }
             self.read(end - Instant::now());
         }
     }
 
-    /// Whether the other side ended it within that time.
-    pub fn ends(&mut self, within: Duration) -> bool {
+    /// Whether the other side closed the connection within that time.
+    pub fn closes_within(&mut self, within: Duration) -> bool {
         let end = Instant::now() + within;
-        while !self.over && Instant::now() < end {
+        while !self.closed && Instant::now() < end {
             self.read(end - Instant::now());
         }
-        self.over
+        self.closed
     }
 }
 
@@ -305,19 +313,19 @@
     assert_eq!(done, 0);
 }
 
-/// Its connections take in no more than a few kilobytes that are not read.
-pub fn narrow(listener: &TcpListener) {
+/// Limits the receive buffers of a listener's connections to a few kilobytes.
+pub fn limit_receive_buffer(listener: &TcpListener) {
     option(listener, libc::SO_RCVBUF, &4096_i32);
 }
 
-/// Takes the next connection that comes within that time.
-pub fn accept(listener: &TcpListener, within: Duration) -> Option<Side> {
+/// Accepts the next connection within that time.
+pub fn accept(listener: &TcpListener, within: Duration) -> Option<Connection> {
     listener.set_nonblocking(true).unwrap();
     let end = Instant::now() + within;
     loop {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
-            return Some(Side::new(stream));
+            return Some(Connection::new(stream));
         }
         if Instant::now() >= end {
             return None;
@@ -326,8 +334,9 @@
     }
 }
 
-/// Bytes that the system holds on the way to a worker: sent and not taken, and taken and not read (`/proc/net/tcp`).
-pub fn on_its_way(worker: &TcpListener) -> usize {
+/// Bytes on their way to a worker: in the gateway's send buffers and in the worker's receive buffers
+/// (`/proc/net/tcp`).
+pub fn bytes_in_transit(worker: &TcpListener) -> usize {
     let at = worker.local_addr().unwrap();
     let SocketAddr::V4(v4) = at else {
         panic!("{at}")
@@ -343,7 +352,7 @@
         .lines()
         .skip(1)
         .map(|l| l.split_whitespace().collect::<Vec<_>>());
-    // Local and remote place, state (01 stands), both queues.
+    // Columns: local and remote address, state (01 is established), send and receive queue.
     rows.filter(|r| r[3] == "01")
         .map(|r| {
             let (unsent, unread) = r[4].split_once(':').unwrap();
@@ -352,51 +361,53 @@
         .sum()
 }
 
-/// Whether anything that this client sent or ended lies at the gateway's side of its connection, unread (`/proc/net/tcp`): bytes,
-/// an end, or no connection any more. A busy machine's system delivers it some milliseconds after the call that sends it.
+/// Whether the gateway's side of this client's connection has unread bytes or an end, or is gone
+/// (`/proc/net/tcp`). On a busy machine the system delivers them some milliseconds after the call that sends
+/// them.
 pub fn has_arrived(gateway: SocketAddr, client: SocketAddr) -> bool {
     let place = |port: u16| format!(":{port:04X}");
     let (own, other) = (place(gateway.port()), place(client.port()));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let rows = table.lines().skip(1).map(|l| l.split_whitespace());
-    // Local and remote place, state (01 stands), both queues.
+    // Columns: local and remote address, state (01 is established), send and receive queue.
     let stands = rows
         .map(|row| row.collect::<Vec<_>>())
         .find(|row| row[1].ends_with(&own) && row[2].ends_with(&other) && row[3] == "01");
     stands.is_none_or(|row| !row[4].ends_with(":00000000"))
 }
 
-/// Connections to a worker that stand as far as the connecting side's system knows (`/proc/net/tcp`): one whose end has arrived
-/// there does not.
-pub fn standing(worker: &TcpListener) -> usize {
+/// How many connections to a worker are established in the view of the connecting side (`/proc/net/tcp`): a
+/// connection whose end has arrived there is not.
+pub fn open_connections(worker: &TcpListener) -> usize {
     let port = format!(":{:04X}", worker.local_addr().unwrap().port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let rows = table.lines().skip(1).map(|l| l.split_whitespace());
     rows.filter(|row| {
         let row: Vec<&str> = row.clone().collect();
-        // Remote place, state (01 stands).
+        // Columns: remote address, state (01 is established).
         row[2].ends_with(&port) && row[3] == "01"
     })
     .count()
 }
 
-/// A listener whose backlog is full: what connects waits until places are made, one for each that is dropped.
-pub fn filled(at: &TcpListener) -> Vec<TcpStream> {
-    // SAFETY: the descriptor is open; listening again sets its backlog anew.
+/// Fills a listener's backlog: further connections wait until returned ones are dropped, each of which makes
+/// room for one.
+pub fn fill_backlog(at: &TcpListener) -> Vec<TcpStream> {
+    // SAFETY: the descriptor is open; a second call of listen changes its backlog.
     assert_eq!(unsafe { libc::listen(at.as_raw_fd(), 0) }, 0);
     let to = at.local_addr().unwrap();
     let mut fillers = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&to, ms(100)) {
         fillers.push(stream);
-        assert!(fillers.len() < 64, "the backlog has no end");
+        assert!(fillers.len() < 64, "the backlog is not limited");
     }
     fillers
 }
 
-// The platform's words.
+// The platform's protocol.
 
-/// A worker's line and what lies behind it.
-fn line(bytes: &[u8]) -> Option<(String, usize)> {
+/// Parses a line to a worker; the length includes the body of a `go`.
+fn parse_worker_line(bytes: &[u8]) -> Option<(String, usize)> {
     let end = bytes.windows(2).position(|w| w == b"\r\n")?;
     let line = String::from_utf8(bytes[..end].to_vec()).unwrap();
     let mut len = end + 2;
@@ -407,26 +418,26 @@
     Some((line, len))
 }
 
-impl Side {
-    /// The next line of a worker's connection.
-    pub fn line(&mut self, within: Duration) -> Option<String> {
-        self.next(within, line)
+impl Connection {
+    /// The next line to a worker.
+    pub fn next_line(&mut self, within: Duration) -> Option<String> {
+        self.next(within, parse_worker_line)
     }
 
-    /// The next launch: its trace.
-    pub fn go(&mut self, within: Duration) -> Option<String> {
+    /// The trace of the next attempt.
+    pub fn next_attempt_trace(&mut self, within: Duration) -> Option<String> {
         let end = Instant::now() + within;
         loop {
-            let line = self.line(end.saturating_duration_since(Instant::now()))?;
+            let line = self.next_line(end.saturating_duration_since(Instant::now()))?;
             if let Some(rest) = line.strip_prefix("go ") {
                 return Some(rest.split(' ').next().unwrap().to_string());
             }
         }
     }
 
-    pub fn halted(&mut self, trace: &str, within: Duration) -> bool {
+    pub fn receives_halt(&mut self, trace: &str, within: Duration) -> bool {
         let end = Instant::now() + within;
-        while let Some(line) = self.line(end.saturating_duration_since(Instant::now())) {
+        while let Some(line) = self.next_line(end.saturating_duration_since(Instant::now())) {
             if line == format!("halt {trace}") {
                 return true;
             }
@@ -434,12 +445,12 @@
         false
     }
 
-    pub fn says(&mut self, trace: &str, word: &str) {
+    pub fn respond(&mut self, trace: &str, word: &str) {
         self.send(format!("{trace} {word} res=hit 3\r\nyes\r\n"));
     }
 
-    /// The next answer to a client: tag and word.
-    pub fn answer(&mut self, within: Duration) -> Option<(u64, String)> {
+    /// The next response to a client: its tag and word.
+    pub fn next_response(&mut self, within: Duration) -> Option<(u64, String)> {
         self.next(within, |bytes| {
             let text = String::from_utf8_lossy(bytes);
             let mut lines = text.split("\r\n");
@@ -467,24 +478,24 @@
     format!("*{}\r\n{}", words.len(), words.concat())
 }
 
-/// A call whose trace is its tag's.
-pub fn call(tag: u64, typ: &str, patience: u64) -> String {
-    call_of(tag, typ, patience, "7f3a9c21e0b4d655", "body")
+/// A call with the tag as its trace.
+pub fn call(tag: u64, class: &str, patience: u64) -> String {
+    call_of(tag, class, patience, "7f3a9c21e0b4d655", "body")
 }
 
-pub fn call_of(tag: u64, typ: &str, patience: u64, function: &str, body: &str) -> String {
+pub fn call_of(tag: u64, class: &str, patience: u64, function: &str, body: &str) -> String {
     let fields = format!(
         "trace={tag:016x},patience={patience},nonce=n{tag},entity={function},extras=lanes:1000"
     );
-    command(&["CALL", &tag.to_string(), typ, &fields, body])
+    command(&["CALL", &tag.to_string(), class, &fields, body])
 }
 
 pub fn cancel(tag: u64) -> String {
     command(&["CANCEL", &tag.to_string()])
 }
 
-/// Hosts as a list tells them, the first one as s-0; `state` for all of them.
-pub fn hosts(first: usize, at: &[SocketAddr], state: &str) -> String {
+/// Entries of an endpoint list for these hosts, named from s-`first` on, all in this state.
+pub fn host_entries(first: usize, at: &[SocketAddr], state: &str) -> String {
     let host = |(i, at): (usize, &SocketAddr)| {
         let place = format!(
             "\"id\":\"s-{}\",\"addr\":\"{at}\",\"state\":\"{state}\"",
@@ -501,13 +512,13 @@
         .join(",")
 }
 
-/// One numbered change of the list.
+/// A notice: one numbered change of the endpoint list.
 pub fn notice(rev: u64, hosts: &str, full: bool) -> String {
     format!("{{\"rev\":{rev},\"pool\":{{\"version\":1,\"full\":{full},\"servers\":[{hosts}]}}}}")
 }
 
-/// What a board says.
-pub fn board_says(rev: u64, notices: &[String]) -> String {
+/// A response of the notice board.
+pub fn board_response(rev: u64, notices: &[String]) -> String {
     let body = format!("{{\"rev\":{rev},\"notices\":[{}]}}", notices.join(","));
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -515,13 +526,13 @@
     )
 }
 
-impl Side {
+impl Connection {
     /// The next poll's `watch`.
     pub fn poll(&mut self, within: Duration) -> Option<u64> {
         self.poll_request(within).map(|(watch, _)| watch)
     }
 
-    /// The next poll's `watch`, and how long the answer may stay away in milliseconds.
+    /// The next poll's `watch`, and how long the response may be delayed, in milliseconds.
     pub fn poll_request(&mut self, within: Duration) -> Option<(u64, u64)> {
         self.next(within, |bytes| {
             let text = String::from_utf8_lossy(bytes);
@@ -536,7 +547,8 @@
     }
 }
 
-/// Connections cost something, so that launches share one. Types: "check" redeliverable, "record" keyed in a zone within 600 ms, "issue" at-most-once; max ages of 2 s.
+/// Connections have a cost, so that attempts share one. Classes: "check" is redeliverable, "record" keyed in
+/// a zone within 600 ms, "issue" at-most-once; deadlines of 2 s.
 pub const SETTINGS: &str = r#"{"me":0,"siblings":1,"tick-ms":1.0,"zones":["z"],"kinds":["k"],"discovery":"pushed",
  "allowed":{"connect-timeout-ms":250.0,"keepalive-ms":30000.0,"max-attempts":3,"most-held":200,"streams-per-conn":32,
   "cancel":true,"may-duplicate":true,"retry-after":true,"max-retry-after-ms":500.0,"probes":false},
@@ -546,20 +558,22 @@
   {"name":"issue","aim-ms":500.0,"deadline-ms":2000.0,"worth":1.0,"semantics":"non_idempotent"}],
  "extra":{"orders":false,"order-timeout-ms":4000.0,"if-cold":"load","stays-loaded-ms":60000.0,"load-window-ms":0}}"#;
 
-/// A gateway on the platform with a board and workers that the test holds in its hands.
+/// A gateway on the platform, with a notice board and workers that the test plays.
 pub struct Platform {
     pub gateway: Gateway,
     pub board: TcpListener,
     pub workers: Vec<TcpListener>,
 }
 
-/// With so many workers, these settings, and so many descriptors.
-pub fn platform_with(last: u8, workers: usize, settings: &str, sockets: u64) -> Platform {
+/// Starts a gateway with this many workers, these settings, and this limit on descriptors.
+pub fn platform_with(octet: u8, workers: usize, settings: &str, sockets: u64) -> Platform {
     let (board, workers) = (
-        free(last),
-        (0..workers).map(|_| free(last)).collect::<Vec<_>>(),
+        free_listener(octet),
+        (0..workers)
+            .map(|_| free_listener(octet))
+            .collect::<Vec<_>>(),
     );
-    let at = address(last);
+    let at = free_address(octet);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let all: Vec<SocketAddr> = workers.iter().map(|w| w.local_addr().unwrap()).collect();
@@ -568,7 +582,7 @@
         config(
             at,
             board.local_addr().unwrap(),
-            &hosts(0, &all, "up"),
+            &host_entries(0, &all, "up"),
             settings,
             sockets,
         ),
@@ -582,8 +596,8 @@
     }
 }
 
-pub fn platform(last: u8, workers: usize) -> Platform {
-    platform_with(last, workers, SETTINGS, 256)
+pub fn platform(octet: u8, workers: usize) -> Platform {
+    platform_with(octet, workers, SETTINGS, 256)
 }
 
 pub fn platform_process(at: SocketAddr, folder: tempfile::TempDir, sockets: u64) -> Gateway {
@@ -619,26 +633,26 @@
 }
 
 impl Platform {
-    pub fn client(&self) -> Side {
-        Side::connect(self.gateway.at)
+    pub fn client(&self) -> Connection {
+        Connection::connect(self.gateway.at)
     }
 
-    /// A call, and the connection to a worker on which its launch came.
-    pub fn launched(&self, client: &mut Side, tag: u64, typ: &str) -> Side {
-        client.send(call(tag, typ, 2000));
+    /// Sends a call and returns the worker connection on which its attempt arrived.
+    pub fn start_attempt(&self, client: &mut Connection, tag: u64, class: &str) -> Connection {
+        client.send(call(tag, class, 2000));
         let mut link = None;
-        until("it connects to a worker", || {
+        wait_until("it connects to a worker", || {
             link = self.workers.iter().find_map(|w| accept(w, ms(1)));
             link.is_some()
         });
         let mut link = link.expect("it is some");
-        let went = link.go(LONG);
+        let went = link.next_attempt_trace(LONG_TIMEOUT);
         assert_eq!(went, Some(format!("{tag:016x}")), "{}", self.gateway.log());
         link
     }
 
-    /// The file tells another board from now on.
-    pub fn moved(&self, board: &TcpListener) {
+    /// Changes the configuration to another notice board and makes the gateway reload it.
+    pub fn move_board(&self, board: &TcpListener) {
         let all: Vec<SocketAddr> = self
             .workers
             .iter()
@@ -647,7 +661,7 @@
         let text = config(
             self.gateway.at,
             board.local_addr().unwrap(),
-            &hosts(0, &all, "up"),
+            &host_entries(0, &all, "up"),
             SETTINGS,
             256,
         );
@@ -657,7 +671,8 @@
     }
 }
 
-/// Starts a native gateway with these settings; ADDRESS and LIST stand for where it listens and keeps its list.
+/// Starts a native gateway with these settings; ADDRESS and LIST are placeholders for its address and its
+/// endpoint cache file.
 pub fn native_process(at: SocketAddr, settings: &str) -> Gateway {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("site.txtpb");
@@ -673,9 +688,10 @@
     Gateway::spawn(command, at, Some(folder), 1024)
 }
 
-// The native words.
+// The native protocol.
 
-/// One hall, "check" redeliverable, "issue" at-most-once; a launch, two connections at most, no loads.
+/// One zone, "check" redeliverable, "issue" at-most-once; at most two connections for an attempt, no load
+/// requests.
 pub const SITE: &str = r#"
 gateway { name: "g0" address: "ADDRESS" zone: "z" last_list: "LIST" seed: 3 }
 roster { address: "ROSTER" }
@@ -687,11 +703,11 @@
 loading { orders: false }
 "#;
 
-/// A native gateway with a roster that told its workers, and workers that the test holds in its hands.
+/// A native gateway, with workers and a discovery server that the test plays.
 pub struct Native {
     pub gateway: Gateway,
     pub workers: Vec<TcpListener>,
-    _roster: Side,
+    _roster: Connection,
 }
 
 fn framed(bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
@@ -700,7 +716,7 @@
         .map(|(body, len)| (body.to_vec(), len))
 }
 
-impl Side {
+impl Connection {
     /// The next frame's kind and body.
     pub fn frame(&mut self, within: Duration) -> Option<(u64, Vec<u8>)> {
         let body = self.next(within, framed)?;
@@ -708,14 +724,14 @@
         Some((kind, body))
     }
 
-    pub fn say(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
+    pub fn send_frame(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         let mut out = Vec::new();
         write(&mut out);
         self.send(out);
     }
 
-    /// The next launch within that time: its id and event.
-    pub fn launch(&mut self, within: Duration) -> Option<(u64, u64)> {
+    /// The next attempt within that time: its id and its request's id.
+    pub fn next_attempt(&mut self, within: Duration) -> Option<(u64, u64)> {
         let end = Instant::now() + within;
         loop {
             let (kind, body) = self.frame(end.saturating_duration_since(Instant::now()))?;
@@ -726,7 +742,7 @@
         }
     }
 
-    pub fn cancelled(&mut self, id: u64, within: Duration) -> bool {
+    pub fn receives_cancel(&mut self, id: u64, within: Duration) -> bool {
         let end = Instant::now() + within;
         while let Some((kind, body)) = self.frame(end.saturating_duration_since(Instant::now())) {
             if kind == kind::CANCEL && Fields::read(&body).unwrap().whole(Field::Id) == Ok(id) {
@@ -736,9 +752,9 @@
         false
     }
 
-    /// A launch's end.
-    pub fn over(&mut self, id: u64, outcome: &str) {
-        self.say(|out| {
+    /// Reports the outcome of an attempt.
+    pub fn end_attempt(&mut self, id: u64, outcome: &str) {
+        self.send_frame(|out| {
             Frame::new(out, kind::END)
                 .whole(Field::Id, id)
                 .text(Field::Outcome, outcome)
@@ -746,8 +762,8 @@
         });
     }
 
-    /// The next answer to a client: its event and word.
-    pub fn told(&mut self, within: Duration) -> Option<(u64, String)> {
+    /// The next response to a client: its request's id and word.
+    pub fn next_answer(&mut self, within: Duration) -> Option<(u64, String)> {
         let end = Instant::now() + within;
         loop {
             let (kind, body) = self.frame(end.saturating_duration_since(Instant::now()))?;
@@ -762,12 +778,12 @@
     }
 }
 
-/// An event as a client sends it.
-pub fn event(id: u64, typ: &str) -> Vec<u8> {
+/// A request frame of a client.
+pub fn request_frame(id: u64, class: &str) -> Vec<u8> {
     let mut out = Vec::new();
     let f = Frame::new(&mut out, kind::EVENT)
         .whole(Field::Id, id)
-        .text(Field::Type, typ);
+        .text(Field::Type, class);
     f.text(Field::Function, "f")
         .whole(Field::Lanes, 1000)
         .whole(Field::Left, 20_000)
@@ -775,24 +791,26 @@
     out
 }
 
-pub fn withdrawn(id: u64) -> Vec<u8> {
+pub fn leave_frame(id: u64) -> Vec<u8> {
     let mut out = Vec::new();
     Frame::new(&mut out, kind::LEAVE).whole(Field::Id, id).end();
     out
 }
 
-pub fn native(last: u8, workers: usize, cancels: bool) -> Native {
+pub fn native(octet: u8, workers: usize, cancels: bool) -> Native {
     let (roster, workers) = (
-        free(last),
-        (0..workers).map(|_| free(last)).collect::<Vec<_>>(),
+        free_listener(octet),
+        (0..workers)
+            .map(|_| free_listener(octet))
+            .collect::<Vec<_>>(),
     );
     let settings = SITE.replace("ROSTER", &roster.local_addr().unwrap().to_string());
     let gateway = native_process(
-        address(last),
+        free_address(octet),
         &settings.replace("CANCEL", &cancels.to_string()),
     );
-    let mut told = accept(&roster, LONG).expect("it asks for its list");
-    told.frame(LONG).expect("its hello");
+    let mut discovery = accept(&roster, LONG_TIMEOUT).expect("it connects to the discovery server");
+    discovery.frame(LONG_TIMEOUT).expect("its hello");
     let mut list = Entries::default();
     for (i, worker) in workers.iter().enumerate() {
         let at = worker.local_addr().unwrap().to_string();
@@ -806,8 +824,8 @@
                 .real(Field::Rating, 1.0)
         });
     }
-    told.say(|out| wire::hello(out, "roster", "r", 1));
-    told.say(|out| {
+    discovery.send_frame(|out| wire::hello(out, "roster", "r", 1));
+    discovery.send_frame(|out| {
         Frame::new(out, kind::ROSTER)
             .text(Field::Scope, "whole")
             .entries(&list)
@@ -816,36 +834,41 @@
     Native {
         gateway,
         workers,
-        _roster: told,
+        _roster: discovery,
     }
 }
 
 impl Native {
-    /// A client that was greeted.
-    pub fn client(&self) -> Side {
-        let mut client = Side::connect(self.gateway.at);
-        client.say(|out| wire::hello(out, "client", "c", 1));
-        assert_eq!(client.frame(LONG).map(|f| f.0), Some(kind::HELLO));
+    /// Connects a client and exchanges hellos.
+    pub fn client(&self) -> Connection {
+        let mut client = Connection::connect(self.gateway.at);
+        client.send_frame(|out| wire::hello(out, "client", "c", 1));
+        assert_eq!(client.frame(LONG_TIMEOUT).map(|f| f.0), Some(kind::HELLO));
         client
     }
 
-    /// A worker's connection, greeted both ways.
-    pub fn link(&self, wk: usize) -> Side {
-        let mut link = accept(&self.workers[wk], LONG).expect("it connects to its worker");
+    /// Accepts the connection to a worker and exchanges hellos.
+    pub fn accept_worker(&self, wk: usize) -> Connection {
+        let mut link = accept(&self.workers[wk], LONG_TIMEOUT).expect("it connects to its worker");
         self.greet(&mut link, wk);
         link
     }
 
-    pub fn greet(&self, link: &mut Side, wk: usize) {
-        assert_eq!(link.frame(LONG).map(|f| f.0), Some(kind::HELLO));
-        link.say(|out| wire::hello(out, "worker", &format!("w{wk}"), 0));
+    pub fn greet(&self, link: &mut Connection, wk: usize) {
+        assert_eq!(link.frame(LONG_TIMEOUT).map(|f| f.0), Some(kind::HELLO));
+        link.send_frame(|out| wire::hello(out, "worker", &format!("w{wk}"), 0));
     }
 
-    /// An event, and the connection of the only worker with its launch's id.
-    pub fn launched(&self, client: &mut Side, id: u64, typ: &str) -> (Side, u64) {
-        client.send(event(id, typ));
-        let mut link = self.link(0);
-        let launch = link.launch(LONG).expect("its launch");
+    /// Sends a request; returns the connection of the only worker and the attempt's id.
+    pub fn start_attempt(
+        &self,
+        client: &mut Connection,
+        id: u64,
+        class: &str,
+    ) -> (Connection, u64) {
+        client.send(request_frame(id, class));
+        let mut link = self.accept_worker(0);
+        let launch = link.next_attempt(LONG_TIMEOUT).expect("its launch");
         assert_eq!(launch.1, id);
         (link, launch.0)
     }
--- a/crates/tidewall-cli/tests/incarnations.rs
+++ b/crates/tidewall-cli/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Numbers of incarnations across starts of the process: a member of a pair is started, killed and started again.
+//! Incarnation numbers across restarts: a member of a pair is started, killed and started again.
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,10 +11,10 @@
 const PAIR: &str = include_str!("../../../deploy/examples/pair-a.txtpb");
 const KEYS: &str = include_str!("../../../deploy/examples/pair.keys");
 
-/// A machine that starts a process takes far less, also beside other tests.
+/// Starting a process takes far less, also while other tests run.
 const START_TIME: Duration = Duration::from_secs(20);
 
-/// A member's settings in a folder of their own.
+/// A member of a pair with a folder for its settings and state.
 struct Member {
     folder: tempfile::TempDir,
     link: SocketAddr,
@@ -69,19 +69,19 @@
         command
     }
 
-    /// Starts the process and gives the number that it tells on its link.
+    /// Starts the process and returns the incarnation number that it reports on its link address.
     fn start(&mut self) -> u64 {
         let log = fs::File::create(self.folder.path().join("log")).unwrap();
         self.process = Some(self.command().stderr(log).spawn().unwrap());
-        self.told_number()
+        self.wait_for_number()
     }
 
-    fn told_number(&self) -> u64 {
-        let begun = Instant::now();
+    fn wait_for_number(&self) -> u64 {
+        let started = Instant::now();
         loop {
             match ask_number(self.link) {
                 Ok(number) => return number,
-                Err(error) => assert!(begun.elapsed() < START_TIME, "{error}: {}", self.log()),
+                Err(error) => assert!(started.elapsed() < START_TIME, "{error}: {}", self.log()),
             }
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -91,7 +91,7 @@
         fs::read_to_string(self.folder.path().join("log")).unwrap()
     }
 
-    /// As a power cut would.
+    /// Kills the process without a chance to shut down, as a power failure would.
     fn kill(&mut self) {
         let mut process = self.process.take().unwrap();
         process.kill().unwrap();
@@ -132,8 +132,8 @@
     now.as_millis() as u64
 }
 
-/// Guards against an incarnation with a number that a former one used: its ballots, and what others remember of that one, would
-/// be taken for its own. The former one's clock stood an hour ahead.
+/// Guards against an incarnation with a number that a former one used: its ballots, and what others remember
+/// of the former one, would be attributed to it. The clock of the former one was an hour ahead.
 #[test]
 fn a_clock_set_back_across_a_restart_gives_a_higher_number() {
     let mut member = Member::new();
@@ -152,9 +152,13 @@
     let mut member = Member::new();
     member.start();
     let output = member.command().output().unwrap();
-    let told = String::from_utf8_lossy(&output.stderr);
-    let errors: Vec<&str> = told.lines().filter(|l| !l.contains(" INFO ")).collect();
-    assert_eq!((output.status.code(), errors.len()), (Some(2), 1), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    let errors: Vec<&str> = stderr.lines().filter(|l| !l.contains(" INFO ")).collect();
+    assert_eq!(
+        (output.status.code(), errors.len()),
+        (Some(2), 1),
+        "{stderr}"
+    );
     let expected = format!(
         "{}: another process uses it",
         member.number_file().display()
@@ -162,21 +166,22 @@
     assert_eq!(errors[0], expected);
 }
 
-/// It does not serve under a number that a later start could take again, and goes on by itself.
+/// The process does not serve with a number that a later start could use again, and continues once the number
+/// can be stored.
 #[test]
-fn a_number_that_cannot_be_stored_is_waited_for() {
+fn a_start_waits_until_its_number_is_stored() {
     let mut member = Member::new();
-    // A folder in the way of the file that is written.
+    // A folder where the new file would be written.
     let obstacle = member.folder.path().join("state/number.new");
     fs::create_dir(&obstacle).unwrap();
     let log = fs::File::create(member.folder.path().join("log")).unwrap();
     member.process = Some(member.command().stderr(log).spawn().unwrap());
-    let begun = Instant::now();
+    let started = Instant::now();
     while !member.log().contains("incarnation could not be stored") {
-        assert!(begun.elapsed() < START_TIME, "{}", member.log());
+        assert!(started.elapsed() < START_TIME, "{}", member.log());
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(ask_number(member.link).is_err(), "it serves");
     fs::remove_dir(&obstacle).unwrap();
-    assert!(member.told_number() > 0);
+    assert!(member.wait_for_number() > 0);
 }
--- a/crates/tidewall-cli/tests/outage/boards.rs
+++ b/crates/tidewall-cli/tests/outage/boards.rs
@@ -1,12 +1,12 @@
-//! Boards: they can be taken out of reach in several ways.
+//! Notice boards that can be made unreachable in several ways.
 use crate::help::*;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-/// So often a board looks what came and what changed; no more, as there are many at once.
+/// Time between a board's checks for polls and changes; not shorter, as many boards run at once.
 const LOOK_INTERVAL: Duration = ms(10);
-/// So often it begins an answer that it does not end.
+/// Time between responses that a board begins and does not complete.
 const TRICKLE_INTERVAL: Duration = ms(100);
 
 /// What a board does with polls.
@@ -16,15 +16,15 @@
     Answers,
     /// Nothing listens.
     Refuses,
-    /// It accepts and says nothing.
+    /// It accepts connections and never responds.
     Silent,
-    /// It begins an answer again and again and never ends one.
+    /// It begins responses again and again and never completes one.
     Trickles,
 }
 
-/// A gateway's connection, and its poll that is not answered yet: after which revision it asks, and until when it waits.
+/// A gateway's connection and its open poll: the revision that it has, and until when it waits.
 struct Poller {
-    side: Side,
+    connection: Connection,
     poll: Option<(u64, Instant)>,
 }
 
@@ -51,34 +51,39 @@
         *self.reach.lock().unwrap() = reach;
     }
 
-    /// Adds a notice. The list of the start has number 1.
+    /// Adds a notice. The initial list has number 1.
     pub fn tell(&self, entries: &str) {
         let mut notices = self.notices.lock().unwrap();
         let revision = notices.len() as u64 + 2;
         notices.push(notice(revision, entries, false));
     }
 
-    /// Takes what came, answers what is due, and says when to look again.
+    /// Reads polls, answers those that are due, and returns the time to the next check.
     fn look(&self, listener: &mut Option<TcpListener>, pollers: &mut Vec<Poller>) -> Duration {
         let reach = *self.reach.lock().unwrap();
         if reach == Reach::Refuses {
-            // What is out of reach ends what was open; a silent one keeps it.
-            pollers.drain(..).for_each(|poller| poller.side.reset());
+            // A board that refuses closes open connections; a silent one keeps them.
+            pollers
+                .drain(..)
+                .for_each(|poller| poller.connection.reset());
             *listener = None;
             return LOOK_INTERVAL;
         }
         if listener.is_none() {
             *listener = TcpListener::bind(self.at).ok();
         }
-        if let Some(side) = listener.as_ref().and_then(|l| accept(l, ms(0))) {
-            pollers.push(Poller { side, poll: None });
+        if let Some(connection) = listener.as_ref().and_then(|l| accept(l, ms(0))) {
+            pollers.push(Poller {
+                connection,
+                poll: None,
+            });
         }
         for poller in pollers.iter_mut() {
-            if let Some((watch, linger)) = poller.side.poll_request(ms(1)) {
+            if let Some((watch, linger)) = poller.connection.poll_request(ms(1)) {
                 poller.poll = Some((watch, Instant::now() + ms(linger)));
             }
         }
-        pollers.retain(|poller| !poller.side.is_over());
+        pollers.retain(|poller| !poller.connection.is_over());
         match reach {
             Reach::Answers => self.answer(pollers),
             Reach::Trickles => trickle(pollers),
@@ -94,7 +99,7 @@
     fn answer(&self, pollers: &mut [Poller]) {
         let notices = self.notices.lock().unwrap();
         let last = notices.len() as u64 + 1;
-        for Poller { side, poll } in pollers {
+        for Poller { connection, poll } in pollers {
             if poll.is_some_and(|(watch, until)| last > watch || Instant::now() >= until) {
                 let (watch, _) = poll.take().unwrap();
                 let new = notices
@@ -102,13 +107,13 @@
                     .skip(watch.max(1) as usize - 1)
                     .cloned()
                     .collect::<Vec<_>>();
-                side.send(board_says(last, &new));
+                connection.send(board_response(last, &new));
             }
         }
     }
 }
 
-/// Until the test has dropped the board.
+/// Runs the board until the test has dropped it.
 fn serve(board: &Weak<Board>, first: TcpListener) {
     let mut listener = Some(first);
     let mut pollers: Vec<Poller> = Vec::new();
@@ -119,9 +124,9 @@
     }
 }
 
-/// Begins an answer to each that waits for one.
+/// Begins a response to each open poll.
 fn trickle(pollers: &mut [Poller]) {
     for poller in pollers.iter_mut().filter(|poller| poller.poll.is_some()) {
-        poller.side.send("HTTP/1.1 200 OK\r\nContent-Le");
+        poller.connection.send("HTTP/1.1 200 OK\r\nContent-Le");
     }
 }
--- a/crates/tidewall-cli/tests/outage/calls.rs
+++ b/crates/tidewall-cli/tests/outage/calls.rs
@@ -1,4 +1,4 @@
-//! Clients: steady calls to a gateway, and the answers to them.
+//! Clients that send calls at a steady rate to a gateway, and record the responses.
 use crate::help::*;
 use std::collections::VecDeque;
 use std::io::Write;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long clients wait.
+/// How long clients wait, in milliseconds.
 pub const PATIENCE: u64 = 700;
 const CALLS_A_SECOND: u64 = 60;
 const FUNCTIONS: u64 = 40;
@@ -19,7 +19,7 @@
     pub at: Instant,
     pub gateway: usize,
     pub answers: Vec<(Instant, String)>,
-    /// Its connection ended before an answer came.
+    /// The call could not be written, as its connection had ended.
     pub cut: bool,
 }
 
@@ -38,9 +38,9 @@
         let open = Arc::new(AtomicBool::new(true));
         let flag = open.clone();
         std::thread::spawn(move || {
-            let mut side = Side::new(stream);
-            while !side.is_over() {
-                if let Some((tag, word)) = side.answer(ms(500)) {
+            let mut connection = Connection::new(stream);
+            while !connection.is_over() {
+                if let Some((tag, word)) = connection.next_response(ms(500)) {
                     let mut calls = calls.lock().unwrap();
                     calls[tag as usize - 1].answers.push((Instant::now(), word));
                 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sends calls to the gateway with this number, which listens there, until it is told to stop.
+/// Sends calls to the gateway with this index and address until `stop` is set.
 pub fn send_calls(
     gateway: usize,
     at: SocketAddr,
--- a/crates/tidewall-cli/tests/outage/hosts.rs
+++ b/crates/tidewall-cli/tests/outage/hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts: what they answer while they are up, drain, are gone or came back, and what work came to them when. Their threads wait for
-//! what comes and never look on a clock whether something came: many hosts at once would keep a machine busy with that alone.
+//! Hosts that are up, drain, leave and restart, and record when which work arrived. Their threads block on
+//! reads and never poll: polling by many hosts at once would keep the machine busy.
 use crate::help::*;
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -11,12 +11,12 @@
 const LOAD_TIME: Duration = ms(300);
 const RUN_TIME: Duration = ms(4);
 
-/// How a host that drains answers what the drain rule exempts.
+/// How a draining host responds to health checks and queries, which may still be sent to it.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TellsDrain {
-    /// `no` to a health check, and how many instances there are to a query.
+    /// `no` to a health check; a query returns the number of instances.
     ByHealthCheck,
-    /// `yes` to a health check, and `refused` to a query.
+    /// `yes` to a health check; a query is refused.
     ByQuery,
 }
 
@@ -29,12 +29,12 @@
 
 pub struct HostState {
     phase: Phase,
-    /// None while it is gone.
+    /// None while the host is gone.
     listener: Option<Arc<TcpListener>>,
-    /// Those that stand, by number.
+    /// Open connections, by number.
     connections: HashMap<u64, TcpStream>,
     next_connection: u64,
-    /// By function: when its instance is loaded.
+    /// By function: from when on its instance is loaded.
     loaded: HashMap<String, Instant>,
     pub drained_at: Option<Instant>,
     pub restarted_at: Option<Instant>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A host: one address at which all gateways find it.
+/// A host, which all gateways reach at one address.
 pub struct Host {
     at: SocketAddr,
     tells: TellsDrain,
@@ -58,7 +58,7 @@
 
 impl Host {
     pub fn start(tells: TellsDrain, last: u8) -> Arc<Host> {
-        let listener = free(last);
+        let listener = free_listener(last);
         let host = Arc::new(Host {
             at: listener.local_addr().unwrap(),
             tells,
@@ -77,7 +77,7 @@
         host
     }
 
-    /// It is up, and connections come in here from now on.
+    /// Marks the host as up and accepts connections on this listener.
     fn listen(self: &Arc<Host>, listener: TcpListener) {
         let listener = Arc::new(listener);
         let mut state = self.state.lock().unwrap();
@@ -87,50 +87,50 @@
         std::thread::spawn(move || own.accept_all(&listener));
     }
 
-    /// Listens again where it did before.
+    /// Listens again at the same address.
     fn listen_again(self: &Arc<Host>) {
         let mut listener = None;
-        until("it listens again", || {
+        wait_until("it listens again", || {
             listener = TcpListener::bind(self.at).ok();
             listener.is_some()
         });
         self.listen(listener.expect("it is some"));
     }
 
-    /// Takes connections until the host leaves, which ends its listener.
+    /// Accepts connections until the host leaves, which closes its listener.
     fn accept_all(self: Arc<Host>, listener: &Arc<TcpListener>) {
         loop {
             match listener.accept() {
-                Ok((stream, _)) => self.take(Side::new(stream), listener),
-                // A connection that ended before it was taken.
+                Ok((stream, _)) => self.take(Connection::new(stream), listener),
+                // A connection that was closed before it was accepted.
                 Err(_) if self.state.lock().unwrap().listens_on(listener) => {}
                 Err(_) => return,
             }
         }
     }
 
-    fn take(self: &Arc<Host>, side: Side, listener: &Arc<TcpListener>) {
+    fn take(self: &Arc<Host>, connection: Connection, listener: &Arc<TcpListener>) {
         let mut state = self.state.lock().unwrap();
         if !state.listens_on(listener) {
-            return side.reset();
+            return connection.reset();
         }
         let number = state.next_connection;
         state.next_connection += 1;
-        state.connections.insert(number, side.writer());
+        state.connections.insert(number, connection.writer());
         let own = self.clone();
-        std::thread::spawn(move || own.serve(side, number));
+        std::thread::spawn(move || own.serve(connection, number));
     }
 
-    fn serve(self: Arc<Host>, mut side: Side, number: u64) {
-        let out = Arc::new(Mutex::new(side.writer()));
-        while !side.is_over() {
-            if let Some(line) = side.line(LONG) {
+    fn serve(self: Arc<Host>, mut connection: Connection, number: u64) {
+        let out = Arc::new(Mutex::new(connection.writer()));
+        while !connection.is_over() {
+            if let Some(line) = connection.next_line(LONG_TIMEOUT) {
                 self.answer(&line, &out);
             }
         }
-        let stood = self.state.lock().unwrap().connections.remove(&number);
-        if stood.is_none() {
-            side.reset();
+        let was_open = self.state.lock().unwrap().connections.remove(&number);
+        if was_open.is_none() {
+            connection.reset();
         }
     }
 
@@ -200,32 +200,33 @@
         });
     }
 
-    /// Turns all new work away from now on and stays up.
+    /// Refuses all new work from now on, and stays up.
     pub fn drain(&self) {
         let mut state = self.state.lock().unwrap();
         state.phase = Phase::Draining;
         state.drained_at = Some(Instant::now());
     }
 
-    /// Its process ends: nothing listens, and its connections are reset.
+    /// Simulates the end of its process: the listener is closed and connections are reset.
     pub fn leave(&self) {
         let mut state = self.state.lock().unwrap();
         state.phase = Phase::Gone;
         if let Some(listener) = state.listener.take() {
             SockRef::from(&*listener).shutdown(Shutdown::Both).unwrap();
         }
-        // Their threads wait for what comes; the end of reading wakes them, and the other side does not see it.
+        // Their threads block on reads; shutting down the reading half wakes them and is not visible to the
+        // other side.
         for (_, connection) in state.connections.drain() {
             let _ = connection.shutdown(Shutdown::Read);
         }
     }
 
-    /// It can be reached again, as it was.
+    /// Makes it reachable again, with its state unchanged.
     pub fn rejoin(self: &Arc<Host>) {
         self.listen_again();
     }
 
-    /// It comes back at the same address, empty and cold.
+    /// Restarts it at the same address, without loaded instances and cold.
     pub fn restart(self: &Arc<Host>) {
         {
             let mut state = self.state.lock().unwrap();
--- a/crates/tidewall-cli/tests/outage/mod.rs
+++ b/crates/tidewall-cli/tests/outage/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of the shipped program on the platform whose boards can be taken out of reach while its hosts drain, leave and come
-//! back. Hosts and clients note what they see; the rules are judged from that alone.
+//! Gateways of the shipped program on the platform, whose notice boards can be made unreachable while hosts
+//! drain, leave and restart. Hosts and clients record what they observe; the rules are checked on these
+//! records only.
 mod boards;
 mod calls;
 mod hosts;
@@ -17,13 +18,14 @@
 use std::time::{Duration, Instant};
 use turns::Turn;
 
-/// What the board would have told counts as told so long after it went out of reach, at the latest.
-pub const TOLD_AFTER: Duration = ms(7_000);
-/// The drain grace period of the settings, the platform's slack, and what this rig itself may be late.
+/// An unreachable board's updates count as known at the latest this long after it became unreachable.
+pub const KNOWN_AFTER: Duration = ms(7_000);
+/// The drain grace period of the settings; and the platform's tolerance plus the delays of this test itself.
 pub const DRAIN_GRACE: Duration = ms(2_000);
 pub const SLACK: Duration = ms(150);
 
-/// Slow start by the settings: how long, from which share of the capacity, and when a worker is overloaded.
+/// Slow start by the settings: its duration, the initial share of the capacity, and the window and factor of
+/// an overload.
 const SLOW_START: Duration = ms(15_000);
 const OVERLOAD_WINDOW: Duration = ms(1_500);
 const OVERLOAD_TOLERANCE: f64 = 1.5;
@@ -39,12 +41,13 @@
  "extra":{"orders":true,"order-timeout-ms":4000.0,"if-cold":"miss","stays-loaded-ms":20000.0,"load-window-ms":10000.0,
   "free-loads":4,"load-share":0.2}}"#;
 
-/// Attempts that may come in a window that ends so long after a host's start, where a warm host gets so many a second.
+/// The most attempts in a window that ends `age` after a host's start, if a warm host gets `warm` attempts
+/// per second.
 fn most_in_window(warm: f64, age: Duration) -> f64 {
     let part = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
     let share = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * part;
     let capacity = warm * share * OVERLOAD_TOLERANCE * OVERLOAD_WINDOW.as_secs_f64();
-    // The platform's room for chance.
+    // The platform's allowance for random variation.
     let (roots, more) = if capacity < 30.0 {
         (3.0, 3.0)
     } else {
@@ -53,7 +56,7 @@
     capacity + roots * capacity.sqrt() + more
 }
 
-/// How many answers there were, and how long after their calls they came.
+/// The number of responses and their latencies.
 #[derive(Debug, Default)]
 pub struct AnswerTimes {
     count: u32,
@@ -70,18 +73,21 @@
     calls: Calls,
     stop: Arc<AtomicBool>,
     clients: Vec<std::thread::JoinHandle<()>>,
-    /// The last field, as it ends when all else has.
+    /// The last field, as it must be dropped last.
     _turn: Turn,
 }
 
 impl Fleet {
-    /// So many gateways and hosts, on loopback addresses that this test alone uses; calls come from now on. Waits for its turn.
+    /// Waits for its turn, then starts gateways and hosts on loopback addresses that only this test uses, and
+    /// clients that send calls.
     pub fn start(last: u8, gateways: usize, hosts: usize, tells: TellsDrain) -> Fleet {
         let turn = Turn::wait();
         let hosts: Vec<_> = (0..hosts).map(|_| Host::start(tells, last)).collect();
-        let boards: Vec<_> = (0..gateways).map(|_| Board::start(free(last))).collect();
+        let boards: Vec<_> = (0..gateways)
+            .map(|_| Board::start(free_listener(last)))
+            .collect();
         let places: Vec<_> = (0..gateways)
-            .map(|_| (address(last), tempfile::tempdir().unwrap()))
+            .map(|_| (free_address(last), tempfile::tempdir().unwrap()))
             .collect();
         let mut fleet = Fleet {
             gateways: Vec::new(),
@@ -113,7 +119,7 @@
             .join(",")
     }
 
-    /// Writes the gateway's configuration, with all hosts as they are now.
+    /// Writes the gateway's configuration, with the present state of all hosts.
     pub fn configure(&self, gateway: usize, board: SocketAddr) {
         let (at, folder) = &self.places[gateway];
         let settings = OUTAGE_SETTINGS.replace("INDEX", &gateway.to_string());
@@ -127,7 +133,7 @@
         platform_at(*at, folder.path(), 512)
     }
 
-    /// Kills the gateway and starts it again, with the list that it was started with first.
+    /// Kills the gateway and starts it again with its first endpoint list.
     pub fn restart_gateway(&mut self, gateway: usize) {
         self.gateways[gateway].kill();
         let (at, folder) = &self.places[gateway];
@@ -139,12 +145,12 @@
         send_calls(gateway, at, self.calls.clone(), self.stop.clone())
     }
 
-    /// The board of every gateway changes so.
+    /// Changes how all boards can be reached.
     pub fn reach(&self, reach: Reach) {
         self.boards.iter().for_each(|board| board.set(reach));
     }
 
-    /// All boards hold the present state of these hosts; they tell it once they can be reached.
+    /// Puts the present state of these hosts on all boards, which send it once they can be reached.
     pub fn tell(&self, hosts: &[usize]) {
         let entries: Vec<String> = hosts
             .iter()
@@ -160,7 +166,7 @@
         self.tell(hosts);
     }
 
-    /// No further calls; those that are out are waited for.
+    /// Stops the clients and waits for the responses to open calls.
     pub fn finish(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.clients
@@ -169,8 +175,8 @@
         std::thread::sleep(ms(PATIENCE + 600));
     }
 
-    /// Work that was sent to draining hosts later than the told time and the grace allow; what the boards hold counts as
-    /// known from `known` on.
+    /// Work that was sent to draining hosts after their drain grace period, which begins with the drain, but
+    /// not before `known`, from which on the boards' notices count as known.
     pub fn sent_after_drain(&self, known: Instant) -> Vec<String> {
         let mut broken = Vec::new();
         for (index, host) in self.hosts.iter().enumerate() {
@@ -191,7 +197,7 @@
         broken
     }
 
-    /// The share of the calls sent in this span that were served.
+    /// The share of the calls sent in this interval that were served.
     pub fn served(&self, from: Instant, to: Instant) -> f64 {
         let calls = self.calls.lock().unwrap();
         let sent = calls
@@ -205,7 +211,7 @@
         f64::from(served) / f64::from(all.max(1))
     }
 
-    /// For a test that fails: how the calls sent in this span were answered, and when the answers came.
+    /// For the output of a failing test: the responses to calls sent in this interval, and their latencies.
     pub fn answers(&self, from: Instant, to: Instant) -> BTreeMap<String, AnswerTimes> {
         let calls = self.calls.lock().unwrap();
         let mut by_word: BTreeMap<String, AnswerTimes> = BTreeMap::new();
@@ -223,7 +229,7 @@
         by_word
     }
 
-    /// For a test that fails: how often each line stands in the logs of the gateways, without its values.
+    /// For the output of a failing test: how often each log line of the gateways occurs, without its values.
     pub fn log_lines(&self) -> BTreeMap<String, u32> {
         let mut count: BTreeMap<String, u32> = BTreeMap::new();
         for gateway in &self.gateways {
@@ -254,7 +260,7 @@
         lost
     }
 
-    /// Windows in which a host that came back got more than a host in slow start takes.
+    /// Windows in which a restarted host got more attempts than slow start allows.
     pub fn overloaded(&self) -> Vec<String> {
         let warm = self.warm_rate();
         let mut broken = Vec::new();
@@ -278,7 +284,7 @@
         broken
     }
 
-    /// Attempts and load requests a second at a host that stayed, in the mean over the last ten seconds.
+    /// Mean attempts and load requests per second over the last ten seconds, at a host that did not drain.
     fn warm_rate(&self) -> f64 {
         let now = Instant::now();
         let mut rates = Vec::new();
--- a/crates/tidewall-cli/tests/outage/turns.rs
+++ b/crates/tidewall-cli/tests/outage/turns.rs
@@ -1,30 +1,30 @@
-//! How many fleets play at once: they judge what is served in time, and more of them than the machine can serve at once judge the
-//! machine.
+//! Limits how many fleets run at once: the tests check what is served in time, and with more fleets than the
+//! machine can run they would measure the machine.
 use std::sync::{Condvar, Mutex};
 
-const MOST_AT_ONCE: usize = 3;
+const MAX_RUNNING: usize = 3;
 
-static PLAYING: Mutex<usize> = Mutex::new(0);
+static RUNNING: Mutex<usize> = Mutex::new(0);
 static ONE_ENDED: Condvar = Condvar::new();
 
-/// Held by a fleet that plays.
+/// The right to run; held by a fleet while it runs.
 pub struct Turn;
 
 impl Turn {
-    /// Waits until fewer than the most play.
+    /// Waits until fewer than the maximum run.
     pub fn wait() -> Turn {
-        let playing = PLAYING.lock().unwrap();
-        let mut playing = ONE_ENDED
-            .wait_while(playing, |playing| *playing >= MOST_AT_ONCE)
+        let running = RUNNING.lock().unwrap();
+        let mut running = ONE_ENDED
+            .wait_while(running, |running| *running >= MAX_RUNNING)
             .unwrap();
-        *playing += 1;
+        *running += 1;
         Turn
     }
 }
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        *PLAYING.lock().unwrap() -= 1;
+        *RUNNING.lock().unwrap() -= 1;
         ONE_ENDED.notify_one();
     }
 }
--- a/crates/tidewall-cli/tests/platform.rs
+++ b/crates/tidewall-cli/tests/platform.rs
@@ -1,5 +1,6 @@
-//! The shipped binary on the platform, over loopback, as a process of its own that is told and stopped by signals. Hosts and
-//! board are threads of the test; what is judged is that every call gets its one answer, whatever the hosts do.
+//! The shipped binary on the platform's protocols, over loopback, as a process that is controlled by signals.
+//! Hosts and notice board are threads of the test. Every call must get exactly one response, whatever the
+//! hosts do.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -8,7 +9,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Listens, and serves each connection on a thread of its own.
+/// Listens on a free port and serves each connection on its own thread.
 fn listen(serve: impl Fn(TcpStream) -> Option<()> + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -21,13 +22,14 @@
     at
 }
 
-/// A host that answers; with `rough` every fifth answer is spoilt and every seventh connection's launch is reset.
-fn host(rough: bool) -> SocketAddr {
+/// Starts a host; if it is `faulty`, every fifth response is malformed and every seventh attempt's connection
+/// is closed.
+fn host(faulty: bool) -> SocketAddr {
     let count = Arc::new(AtomicUsize::new(0));
-    listen(move |conn| serve(conn, rough, &count))
+    listen(move |conn| serve(conn, faulty, &count))
 }
 
-fn serve(conn: TcpStream, rough: bool, count: &AtomicUsize) -> Option<()> {
+fn serve(conn: TcpStream, faulty: bool, count: &AtomicUsize) -> Option<()> {
     let mut out = conn.try_clone().ok()?;
     let mut lines = BufReader::new(conn);
     loop {
@@ -41,8 +43,8 @@
                 let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
                 lines.read_exact(&mut body).ok()?;
                 match count.fetch_add(1, Ordering::Relaxed) {
-                    n if rough && n % 5 == 4 => format!("{} ok - 1\r\nspoilt\r\n", words[1]),
-                    n if rough && n % 7 == 6 => return None,
+                    n if faulty && n % 5 == 4 => format!("{} ok - 1\r\nspoilt\r\n", words[1]),
+                    n if faulty && n % 7 == 6 => return None,
                     _ => format!("{} ok res=hit 3\r\nyes\r\n", words[1]),
                 }
             }
@@ -54,12 +56,12 @@
     }
 }
 
-/// A board that has nothing to tell; counts the polls.
+/// Starts a notice board without notices, which counts its polls.
 fn board(polls: Arc<AtomicUsize>) -> SocketAddr {
     board_of(polls, "{\"rev\":1,\"notices\":[]}".to_string())
 }
 
-/// One that always tells this.
+/// Starts a notice board that always responds with this body.
 fn board_of(polls: Arc<AtomicUsize>, body: String) -> SocketAddr {
     listen(move |conn| {
         let mut out = conn.try_clone().ok()?;
@@ -79,7 +81,7 @@
     })
 }
 
-/// Ends the process by its own id, however the test ends.
+/// A gateway process, which is killed when the test ends.
 struct Gateway(Child);
 
 impl Drop for Gateway {
@@ -91,13 +93,13 @@
 
 impl Gateway {
     fn signal(&self, signal: i32) {
-        // SAFETY: the process is our own child and not waited for yet.
+        // SAFETY: the process is our child and has not been waited for.
         unsafe { libc::kill(self.0.id() as i32, signal) };
     }
 }
 
-/// The hosts as a list tells them.
-fn listed(hosts: &[SocketAddr]) -> String {
+/// Entries of an endpoint list for these hosts.
+fn host_entries(hosts: &[SocketAddr]) -> String {
     let host = |(i, at): (usize, &SocketAddr)| {
         format!(
             r#"{{"id":"s-{i}","addr":"{at}","zone":"z","kind":"k","cell":0,"state":"up","weight":4,"started_ms":0}}"#
@@ -112,7 +114,7 @@
 }
 
 fn config(listen: SocketAddr, board: SocketAddr, hosts: &[SocketAddr]) -> String {
-    let hosts = listed(hosts);
+    let hosts = host_entries(hosts);
     format!(
         r#"{{"name":"n0","listen":"{listen}","seed":"7","limits":{{"memory_mb":32,"sockets":256}},"board":"{board}",
  "known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"version":0,"full":true,"servers":[{hosts}]}}}}]}},
@@ -130,19 +132,19 @@
     format!("${}\r\n{text}\r\n", text.len())
 }
 
-fn call(tag: usize, typ: &str) -> String {
+fn call(tag: usize, class: &str) -> String {
     let fields = format!("trace={tag:016x},patience=1500,entity=7f3a9c21e0b4d655,extras=lanes:100");
     format!(
         "*5\r\n{}{}{}{}{}",
         word("CALL"),
         word(&tag.to_string()),
-        word(typ),
+        word(class),
         word(&fields),
         word("body")
     )
 }
 
-/// One answer's tag and word (RESP arrays of bulk strings).
+/// Reads a response's tag and word (RESP arrays of bulk strings).
 fn answer(lines: &mut impl BufRead) -> (usize, String) {
     let mut next = || {
         let mut line = String::new();
@@ -159,8 +161,9 @@
     (words[0].parse().unwrap(), words[1].clone())
 }
 
-/// A free port of a loopback address that only one test uses: on a shared one another test's host may take the port before
-/// the gateway does, and a client that tries a port of its own address may meet itself.
+/// A free port of a loopback address that only one test uses. On a shared address, another test's host may
+/// take the port before the gateway does, and a client that connects to a port of its own address may connect
+/// to itself.
 fn free(last: u8) -> SocketAddr {
     TcpListener::bind(SocketAddr::from(([127, 0, 0, last], 0)))
         .unwrap()
@@ -168,7 +171,7 @@
         .unwrap()
 }
 
-/// Starts one and connects to it.
+/// Starts a gateway with this configuration and connects to it.
 fn start(file: &std::path::Path, listen: SocketAddr) -> (Gateway, TcpStream) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tidewall"));
     command
@@ -191,7 +194,7 @@
 }
 
 #[test]
-fn after_a_kill_it_comes_back_from_nothing() {
+fn a_killed_gateway_restarts_from_its_configuration() {
     let (board, hosts) = (board(Arc::default()), [host(false)]);
     let listen = free(2);
     let folder = tempfile::tempdir().unwrap();
@@ -211,21 +214,22 @@
         .unwrap();
         assert_eq!(answer(&mut lines), (1, "UP".to_string()));
         assert_eq!(answer(&mut lines), (2, "OK".to_string()));
-        // Our own child, killed outright.
+        // Killed without a shutdown.
         gateway.0.kill().unwrap();
         gateway.0.wait().unwrap();
     }
 }
 
-/// The smallest limits that the platform's pages name, 32 MB and 256 descriptors, with 1,024 workers (one host answers for all of
-/// them) and 1,024 peers: more of both than a fleet of the size that is planned, and more than there are descriptors.
+/// Runs with the smallest limits that the platform specifies, 32 MB and 256 descriptors, 1,024 workers (one
+/// host responds for all) and 1,024 peers: more of both than a fleet of the planned size has, and more than
+/// there are descriptors.
 #[test_case(1024, 5; "listed at the start")]
-#[test_case(8, 6; "added while it runs")]
+#[test_case(8, 6; "added at run time")]
 fn a_thousand_workers_and_peers_within_the_smallest_limits(first: usize, last: u8) {
     use std::os::unix::process::CommandExt;
     let hosts = [host(false); 1024];
-    let all = listed(&hosts);
-    // What the gateway has taken already it passes over.
+    let all = host_entries(&hosts);
+    // The gateway skips entries that it already has.
     let pool =
         format!("{{\"rev\":2,\"pool\":{{\"version\":1,\"full\":true,\"servers\":[{all}]}}}}");
     let board = board_of(
@@ -237,11 +241,11 @@
     let peers: Vec<String> = (0..1024)
         .map(|i| format!("\"127.1.{}.{}:{}\"", i / 250, i % 250 + 1, at.port()))
         .collect();
-    let told = format!(
+    let peer_settings = format!(
         "\"peer_listen\":\"{at}\",\"peers\":[{}],\"settings\":{{\"siblings\":1024,",
         peers.join(",")
     );
-    let text = config(at, board, &hosts[..first]).replace("\"settings\":{", &told);
+    let text = config(at, board, &hosts[..first]).replace("\"settings\":{", &peer_settings);
     let text = text
         .replace("\"siblings\":1,", "")
         .replace("\"probes\":true", "\"probes\":true,\"peers\":true");
@@ -262,7 +266,7 @@
         });
     }
     let (gateway, conn) = started(command, at);
-    // The board has told them all by then.
+    // By then the board has sent all entries.
     std::thread::sleep(Duration::from_millis(500));
     let (mut out, mut lines) = (conn.try_clone().unwrap(), BufReader::new(conn));
     for tag in 1..=400 {
@@ -270,7 +274,7 @@
         out.write_all(call.as_bytes()).unwrap();
         assert_eq!(answer(&mut lines), (tag, "OK".to_string()));
     }
-    // 116 to workers, one client and 24 of its own at most.
+    // At most 116 connections to workers, one client and 24 other descriptors.
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.0.id())).unwrap();
     let peak = status.lines().find_map(|l| {
         l.strip_prefix("VmHWM:")?
@@ -288,13 +292,13 @@
     );
 }
 
-#[test_case(false; "calm")]
-#[test_case(true; "rough")]
-fn a_life_on_the_platform(rough: bool) {
+#[test_case(false; "reliable hosts")]
+#[test_case(true; "faulty hosts")]
+fn each_call_gets_one_response_across_reload_and_shutdown(faulty: bool) {
     let polls = Arc::new(AtomicUsize::new(0));
     let (first, second) = (board(Arc::default()), board(polls.clone()));
-    let hosts = [host(rough), host(rough)];
-    let listen = free(if rough { 3 } else { 4 });
+    let hosts = [host(faulty), host(faulty)];
+    let listen = free(if faulty { 3 } else { 4 });
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(&file, config(listen, first, &hosts)).unwrap();
@@ -324,7 +328,7 @@
     assert!(words[1..].iter().all(|w| w.len() == 1), "{words:?}");
     let served = words[1..].iter().filter(|w| w[0] == "OK").count();
     assert!(
-        if rough { served > 20 } else { served == 100 },
+        if faulty { served > 20 } else { served == 100 },
         "{served} served"
     );
     assert!(polls.load(Ordering::Relaxed) > 0, "the new board was asked");
@@ -333,14 +337,17 @@
         if let Some(status) = gateway.0.try_wait().unwrap() {
             break status;
         }
-        assert!(Instant::now() < until, "it goes on after SIGTERM");
+        assert!(
+            Instant::now() < until,
+            "the process still runs after SIGTERM"
+        );
         std::thread::sleep(Duration::from_millis(20));
     };
     assert_eq!(status.code(), Some(0));
 }
 
 #[test]
-fn a_bad_configuration_is_one_plain_line() {
+fn a_bad_configuration_is_reported_in_one_line() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(&file, "{\"settings\":{}}").unwrap();
@@ -362,12 +369,12 @@
     );
 }
 
-/// A setting that can't be meant ends the start; one that is left out does not.
+/// An invalid setting prevents the start; one that is left out does not.
 #[test_case("\"siblings\":1", "\"siblings\":0", "field settings.siblings: '0' is no whole number"; "no gateways")]
-#[test_case("\"aim-ms\":500.0,\"deadline-ms\":2000.0,\"worth\":1.0,\"semantics\":\"n", "\"semantics\":\"n", "field settings.classes.1.aim-ms: neither"; "no time at all")]
-#[test_case("\"probes\":true", "\"probes\":\"often\"", "field settings.allowed.probes: 'often'"; "no flag")]
-#[test_case("\"keepalive-ms\":30000.0", "\"keepalive-ms\":0", "field settings.allowed.keepalive-ms: '0' is under 1"; "no time to keep")]
-fn a_setting_that_cannot_be_meant_is_one_plain_line(from: &str, to: &str, reason: &str) {
+#[test_case("\"aim-ms\":500.0,\"deadline-ms\":2000.0,\"worth\":1.0,\"semantics\":\"n", "\"semantics\":\"n", "field settings.classes.1.aim-ms: neither"; "no objective")]
+#[test_case("\"probes\":true", "\"probes\":\"often\"", "field settings.allowed.probes: 'often'"; "an invalid flag")]
+#[test_case("\"keepalive-ms\":30000.0", "\"keepalive-ms\":0", "field settings.allowed.keepalive-ms: '0' is under 1"; "no keep-alive time")]
+fn an_invalid_setting_is_reported_in_one_line(from: &str, to: &str, reason: &str) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let text = config(
--- a/crates/tidewall-cli/tests/thousands_of_workers.rs
+++ b/crates/tidewall-cli/tests/thousands_of_workers.rs
@@ -1,6 +1,7 @@
-//! A gateway process before thousands of listed workers, of which a half is replaced again and again while requests come. The
-//! incident of `docs/incidents/thousands-of-workers.md`: whatever a list costs, each request has its one answer in time, nothing
-//! is sent for a client that has gone, and nothing goes to a worker after its drain grace period.
+//! A gateway process with thousands of listed workers, half of which are replaced again and again while
+//! requests arrive. Guards against the failure in `docs/incidents/thousands-of-workers.md`: whatever the
+//! processing of a list costs, each request gets exactly one response in time, nothing is sent for a client
+//! that has left, and nothing is sent to a worker after its drain grace period.
 mod help;
 
 use help::*;
@@ -10,26 +11,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Workers that stay, and those of one generation; two generations are listed at a time: 3,200 in all.
+/// Workers that stay, and workers of one generation; two generations are listed at a time: 3,200 workers in
+/// all.
 const STABLE: usize = 1_600;
 const GENERATION: usize = 800;
 
-/// Lists come so often, as in the incident.
+/// Time between lists, as in the incident.
 const LIST_INTERVAL: Duration = ms(700);
 const LISTS: usize = 8;
 
-/// Functions that are known before the first list; some more than a gateway of such a fleet sees.
+/// Functions that are known before the first list; slightly more than a gateway of such a fleet sees.
 const FUNCTIONS: u64 = 2_000;
 
-/// How long clients wait, and the half second after which an answer that is late counts as lost.
+/// How long clients wait; a response that is half a second later than that counts as lost.
 const PATIENCE: Duration = ms(1_000);
 const LOST_AFTER: Duration = ms(1_500);
 
-/// Clients that cancel do so after this.
+/// How long after a call clients cancel it, if they do.
 const CANCELLED_AFTER: Duration = ms(150);
 
-/// After the drain grace period of the settings (2 s) and the 7 s in which a list that was not asked for counts as known, of
-/// which none is needed here: it is asked for all the time. 50 ms as for every limit.
+/// When nothing more may be sent to a drained worker: the drain grace period of the settings (2 s) and the 50
+/// ms of every limit. The 7 s after which a list that was not polled counts as known are not added, as the
+/// board is polled all the time.
 const DRAINED_AFTER: Duration = ms(2_050);
 
 const REQUESTS_A_SECOND: u64 = 150;
@@ -55,15 +58,15 @@
 #[derive(Default)]
 struct Records {
     requests: BTreeMap<u64, Record>,
-    /// By generation: when the board told that it drains.
+    /// By generation: when the board reported that it drains.
     drained: BTreeMap<usize, Instant>,
-    /// Lists that the board could not tell, as no poll came for ten seconds.
+    /// Lists that the board could not send, as no poll arrived for ten seconds.
     unpolled: usize,
 }
 
 type Shared = Arc<Mutex<Records>>;
 
-/// Serves the workers of a generation at one address; every fifth request hangs.
+/// Serves the workers of a generation at one address; every fifth request gets no response.
 fn serve(generation: usize, listener: TcpListener, records: Shared) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -99,7 +102,7 @@
     }
 }
 
-/// Entries of a generation as the board tells them; `at` is where all of them are served.
+/// Endpoint list entries of a generation; `at` is the address of all its workers.
 fn entries(generation: usize, count: usize, at: SocketAddr, state: &str, started: u64) -> String {
     let entry = |index| {
         format!(
@@ -117,20 +120,20 @@
         .as_millis() as u64
 }
 
-/// One client connection: sends calls and notes their answers.
+/// A client connection: sends calls and records their responses.
 struct Client {
     out: TcpStream,
 }
 
 impl Client {
     fn connect(at: SocketAddr, records: Shared) -> Client {
-        until("it listens", || TcpStream::connect(at).is_ok());
+        wait_until("it listens", || TcpStream::connect(at).is_ok());
         let stream = TcpStream::connect(at).unwrap();
         stream.set_nodelay(true).unwrap();
         let out = stream.try_clone().unwrap();
         std::thread::spawn(move || {
-            let mut side = Side::new(stream);
-            while let Some((tag, word)) = side.answer(ms(30_000)) {
+            let mut connection = Connection::new(stream);
+            while let Some((tag, word)) = connection.next_response(ms(30_000)) {
                 let mut records = records.lock().unwrap();
                 let record = records.requests.entry(tag).or_default();
                 record.answers.push((Instant::now(), word));
@@ -156,7 +159,7 @@
     }
 }
 
-/// The rules, from the records of clients and workers alone.
+/// Violations of the rules, found in the records of clients and workers only.
 fn broken_rules(records: &Records, end: Instant) -> Vec<String> {
     let mut broken = Vec::new();
     if records.unpolled > 0 {
@@ -168,8 +171,8 @@
             continue;
         };
         let since = |at: &Instant| at.duration_since(sent);
-        let gone = record.cancelled;
-        match (&record.answers[..], gone) {
+        let cancelled = record.cancelled;
+        match (&record.answers[..], cancelled) {
             ([], None) if end.duration_since(sent) > LOST_AFTER => {
                 broken.push(format!("{tag:x}: lost, no answer"));
             }
@@ -179,10 +182,10 @@
             ([_, _, ..], _) => broken.push(format!("{tag:x}: several answers")),
             _ => {}
         }
-        let left = gone.map_or(sent + PATIENCE + LEFT, |at| at + LEFT);
+        let left = cancelled.map_or(sent + PATIENCE + ABANDON_LIMIT, |at| at + ABANDON_LIMIT);
         for (at, generation) in &record.attempts {
             if *at > left {
-                let after = at.duration_since(left) + LEFT;
+                let after = at.duration_since(left) + ABANDON_LIMIT;
                 broken.push(format!("{tag:x}: sent {after:?} after its client left"));
             }
             let drained = records.drained.get(generation);
@@ -195,24 +198,27 @@
     broken
 }
 
-/// Plays the lists to the gateway's polls.
+/// The notice board: answers the gateway's polls with lists.
 struct Board {
     listener: TcpListener,
-    side: Option<Side>,
+    connection: Option<Connection>,
     addresses: Vec<SocketAddr>,
     revision: u64,
-    told: usize,
+    lists_sent: usize,
 }
 
 impl Board {
-    /// Waits for a poll, on a new connection where the last one has ended; none within that time.
+    /// Waits for a poll, also on a new connection; none if none arrives within that time.
     fn poll(&mut self, within: Duration) -> Option<u64> {
         let end = Instant::now() + within;
         while Instant::now() < end {
             if let Some(next) = accept(&self.listener, ms(0)) {
-                self.side = Some(next);
+                self.connection = Some(next);
             }
-            let watch = self.side.as_mut().and_then(|side| side.poll(ms(5)));
+            let watch = self
+                .connection
+                .as_mut()
+                .and_then(|connection| connection.poll(ms(5)));
             if watch.is_some() {
                 return watch;
             }
@@ -221,14 +227,15 @@
         None
     }
 
-    fn say(&mut self, notices: &[String]) {
-        let text = board_says(self.revision, notices);
-        self.side.as_mut().unwrap().send(text);
+    fn respond(&mut self, notices: &[String]) {
+        let text = board_response(self.revision, notices);
+        self.connection.as_mut().unwrap().send(text);
     }
 
-    /// A list: another generation starts, the oldest but one drains and the one before it is gone.
-    fn tell(&mut self, records: &Shared) {
-        let started = self.told + 3;
+    /// Sends a list: a new generation starts, the older one of the two that are up drains, and the one before
+    /// it is removed.
+    fn send_list(&mut self, records: &Shared) {
+        let started = self.lists_sent + 3;
         let entries = |generation: usize, state, at| {
             entries(
                 generation,
@@ -242,37 +249,37 @@
             entries(started, "up", unix_ms()),
             entries(started - 2, "draining", 0),
         ];
-        if self.told > 0 {
+        if self.lists_sent > 0 {
             list.push(entries(started - 3, "removed", 0));
         }
         self.revision += 1;
         let notice = notice(self.revision, &list.join(","), false);
-        // What is on the board counts as known, whether it was asked for or not.
+        // What is on the board counts as known, whether it was polled or not.
         let drains = Instant::now();
         records.lock().unwrap().drained.insert(started - 2, drains);
-        let polled = self.poll(LONG).is_some();
+        let polled = self.poll(LONG_TIMEOUT).is_some();
         if !polled {
             records.lock().unwrap().unpolled += 1;
             return;
         }
-        self.say(&[notice]);
-        self.told += 1;
+        self.respond(&[notice]);
+        self.lists_sent += 1;
     }
 
-    /// Tells that nothing has changed, so that the next poll comes.
+    /// Answers polls with no change, so that the next one arrives.
     fn keep_polling(&mut self, until: Instant) {
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
             if self.poll(left).is_some() {
                 let left = until.saturating_duration_since(Instant::now());
                 std::thread::sleep(left.min(ms(400)));
-                self.say(&[]);
+                self.respond(&[]);
             }
         }
     }
 }
 
-/// Calls at a steady rate until it is stopped; a fifth of them is cancelled.
+/// Sends calls with these tags at a steady rate; a fifth of them is cancelled.
 fn send_calls(clients: &mut [Client], tags: std::ops::Range<u64>, rate: u64, records: &Shared) {
     let (began, mut cancels) = (Instant::now(), std::collections::VecDeque::new());
     for tag in tags.clone() {
@@ -299,16 +306,16 @@
 fn half_of_thousands_of_workers_is_replaced_again_and_again() {
     let records = Shared::default();
     let generations = LISTS + 3;
-    let listeners: Vec<TcpListener> = (0..generations).map(|_| free(90)).collect();
+    let listeners: Vec<TcpListener> = (0..generations).map(|_| free_listener(90)).collect();
     let addresses: Vec<SocketAddr> = listeners.iter().map(|l| l.local_addr().unwrap()).collect();
     for (generation, listener) in listeners.into_iter().enumerate() {
         serve(generation, listener, records.clone());
     }
-    // Generation 0 stays; 1 and 2 are there at the start.
+    // Generation 0 stays; 1 and 2 are up at the start.
     let first = [(0, STABLE), (1, GENERATION), (2, GENERATION)]
         .map(|(generation, count)| entries(generation, count, addresses[generation], "up", 0))
         .join(",");
-    let (board, at) = (free(90), address(90));
+    let (board, at) = (free_listener(90), free_address(90));
     let folder = tempfile::tempdir().unwrap();
     let text = config(
         at,
@@ -324,19 +331,19 @@
         .collect();
     let mut board = Board {
         listener: board,
-        side: None,
+        connection: None,
         addresses,
         revision: 1,
-        told: 0,
+        lists_sent: 0,
     };
     let lists = std::thread::spawn({
         let records = records.clone();
         move || {
-            // All functions are known by then.
+            // By then all functions are known.
             board.keep_polling(Instant::now() + ms(FUNCTIONS * 1_000 / 400));
             for _ in 0..LISTS {
                 let next = Instant::now() + LIST_INTERVAL;
-                board.tell(&records);
+                board.send_list(&records);
                 board.keep_polling(next);
             }
             board.keep_polling(Instant::now() + LOST_AFTER);
@@ -348,9 +355,9 @@
     let tags = FUNCTIONS + 1..FUNCTIONS + 1 + during_lists;
     send_calls(&mut clients, tags, REQUESTS_A_SECOND, &records);
     std::thread::sleep(LOST_AFTER);
-    let judged = Instant::now();
+    let end = Instant::now();
     lists.join().unwrap();
-    let broken = broken_rules(&records.lock().unwrap(), judged);
+    let broken = broken_rules(&records.lock().unwrap(), end);
     let log = gateway.log();
     let long_steps: Vec<&str> = log.lines().filter(|l| l.contains("long step")).collect();
     let count = |kind: &str| broken.iter().filter(|text| text.contains(kind)).count();
@@ -364,15 +371,16 @@
     );
 }
 
-/// After a long silence the board tells many lists at once: more than 2 MiB. What they say holds.
+/// After a long time without a response the board sends many lists at once, more than 2 MiB, all of which are
+/// applied.
 #[test]
-fn many_lists_in_one_response_are_taken_in() {
-    let (old, new) = (free(91), free(91));
+fn many_lists_in_one_response_are_applied() {
+    let (old, new) = (free_listener(91), free_listener(91));
     let addresses = [&old, &new].map(|l| l.local_addr().unwrap());
     let records = Shared::default();
     serve(0, old, records.clone());
     serve(1, new, records.clone());
-    let (board, at) = (free(91), address(91));
+    let (board, at) = (free_listener(91), free_address(91));
     let folder = tempfile::tempdir().unwrap();
     let first = entries(0, STABLE, addresses[0], "up", 0);
     let text = config(
@@ -385,8 +393,8 @@
     std::fs::write(folder.path().join("config.json"), text).unwrap();
     let _gateway = platform_process(at, folder, 256);
     let mut client = Client::connect(at, records.clone());
-    let mut told = accept(&board, LONG).expect("it connects to its board");
-    assert_eq!(told.poll(LONG), Some(1));
+    let mut poller = accept(&board, LONG_TIMEOUT).expect("it connects to its board");
+    assert_eq!(poller.poll(LONG_TIMEOUT), Some(1));
     let draining = entries(0, STABLE, addresses[0], "draining", 0);
     let up = entries(0, STABLE, addresses[0], "up", 0);
     let another = entries(1, 1, addresses[1], "up", 0);
@@ -400,12 +408,12 @@
         })
         .collect();
     notices.push(notice(12, &format!("{draining},{another}"), false));
-    let text = board_says(12, &notices);
+    let text = board_response(12, &notices);
     assert!(text.len() > 2 << 20, "{}", text.len());
-    told.send(text);
-    assert_eq!(told.poll(LONG), Some(12));
+    poller.send(text);
+    assert_eq!(poller.poll(LONG_TIMEOUT), Some(12));
     client.call(1, 1, &records);
-    until("it is answered", || {
+    wait_until("it is answered", || {
         !records.lock().unwrap().requests[&1].answers.is_empty()
     });
     let attempts = records.lock().unwrap().requests[&1].attempts.clone();
--- a/crates/tidewall-config/tests/settings.rs
+++ b/crates/tidewall-config/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Valid settings are converted to the scheduler's map; invalid ones are refused in one line with location and field.
+//! Valid settings are converted to the scheduler's map; invalid ones are refused in one line with location
+//! and field.
 #![allow(clippy::unwrap_used)]
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -143,7 +144,8 @@
     assert!(error.starts_with(location), "{error}");
 }
 
-/// Truncated, damaged and unrelated files are either accepted or refused in one line with a location; none panics.
+/// Truncated, damaged and unrelated files are either accepted or refused in one line with a location; none
+/// panics.
 #[test_case(GOOD; "a small site")]
 #[test_case(include_str!("../../../deploy/examples/pair-a.txtpb"); "a pair")]
 #[test_case(COORDINATION; "several gateways with leases")]
@@ -178,7 +180,8 @@
     }
 }
 
-/// Compares every name and value of the map with a recorded one, for the settings that come with the repository.
+/// Compares every name and value of the map with a recorded one, for the settings that come with the
+/// repository.
 #[test_case("small-site", include_str!("../../../deploy/examples/small-site.txtpb"), include_str!("maps/small-site.txt"))]
 #[test_case("day", include_str!("../../../deploy/examples/day.txtpb"), include_str!("maps/day.txt"))]
 #[test_case("three-halls", include_str!("../../../deploy/examples/three-halls.txtpb"), include_str!("maps/three-halls.txt"))]
