--- a/crates/tidewall-cli/src/serve.rs
+++ b/crates/tidewall-cli/src/serve.rs
@@ -141,7 +141,7 @@
                 .map_err(input)?;
         }
         if !settings.has("pair") {
-            // No drain grace period for a member of a pair: the other member takes over at once.
+            // A member of a pair needs no drain grace period: the other member takes over at once.
             gateway.set_drain_grace(DRAIN_GRACE);
         }
         if settings.has("fleet_common") {
