--- a/crates/tidewall-config/src/check/ranges.rs
+++ b/crates/tidewall-config/src/check/ranges.rs
@@ -1,4 +1,4 @@
-//! Bounds of numbers, as the schema's comments give them.
+//! Checks of numbers against the bounds that the schema's comments give.
 use super::FieldError;
 use crate::Section;
 use prost_reflect::{DynamicMessage, ReflectMessage, Value};
@@ -6,7 +6,8 @@
 /// The largest number where the schema's comment names no bound: far above any site, and exact in an `f64`.
 const MAX_NUMBER: f64 = 1e12;
 
-/// Message, field, least and greatest value. A bound that is excluded is written as the smallest step above it.
+/// Message, field, least and greatest value. A bound that is excluded is written as the smallest step above
+/// it.
 const RANGES: &[(&str, &str, f64, f64)] = &[
     ("Settings", "over_share_benefit", 0.0, 1.0),
     ("Settings", "tick_ms", 0.1, 100.0),
@@ -94,7 +95,7 @@
     ("Fault", "factor", 1e-9, 1e6),
 ];
 
-/// Every number that is set lies in its range.
+/// Checks that every number that is set lies in its range.
 pub fn check(section: &Section) -> Result<(), FieldError> {
     check_message(&section.message, &section.path)
 }
