--- a/crates/tidewall-audit/tests/help/mod.rs
+++ b/crates/tidewall-audit/tests/help/mod.rs
@@ -2,13 +2,13 @@
 use tidewall_audit::rows::{Group, Kind, Row, Rules, Type};
 use tidewall_audit::Audit;
 
-/// Types: 0 redeliverable, 1 keyed in a zone for 4 s, 2 at-most-once, 3 keyed among all for 1 s. Workers 0 and
-/// 1 stand in zone 0, worker 2 in zone 1.
+/// Request types: 0 redeliverable, 1 keyed by zone for 4 s, 2 at-most-once, 3 keyed among all workers for 1 s.
+/// Workers 0 and 1 are in zone 0, worker 2 is in zone 1.
 pub fn audit() -> Audit {
     audit_of(false)
 }
 
-/// The same; gateway 0 is a pair behind one address.
+/// The same rules; with `pair`, gateway 0 is a failover pair behind one address.
 pub fn audit_of(pair: bool) -> Audit {
     Audit::new(Rules {
         types: vec![
@@ -43,7 +43,7 @@
     }
 }
 
-/// An act of a gateway's life on task 4, under an epoch.
+/// An effect of task 4, sent by an incarnation of a gateway under an epoch.
 pub fn acted(t: u64, gw: usize, life: u64, epoch: u64, wk: usize, on: bool) -> Row {
     Row {
         t,
--- a/crates/tidewall-audit/tests/rules.rs
+++ b/crates/tidewall-audit/tests/rules.rs
@@ -1,11 +1,11 @@
-//! Planted violations of each rule are caught; the same records without them pass.
+//! Records with a planted breach of each rule are reported; the same records without it pass.
 mod help;
 
 use help::*;
 use test_case::test_case;
 use tidewall_audit::rows::{Kind, Row};
 
-/// Which rule's breaches the record shows, with how many.
+/// Numbers of the rules that the record breaches, counted from 1, each with its count of breaches.
 fn breaches_by_rule(rows: &[Row]) -> Vec<(usize, usize)> {
     let mut audit = audit();
     rows.iter().for_each(|r| audit.row(r));
@@ -105,7 +105,8 @@
     assert_eq!(breaches_by_rule(&rows), expected);
 }
 
-/// What was told to a gateway that stood still was never read where the connection broke meanwhile.
+/// A gateway that was stopped never read the news of a drain if the connection that it came on broke meanwhile:
+/// sending to that worker is no breach.
 #[test_case(true, false, &[] ; "by the worker")]
 #[test_case(true, true, &[] ; "by the roster")]
 #[test_case(false, true, &[(3, 1)] ; "planted: it was read")]
@@ -129,7 +130,8 @@
     assert_eq!(breaches_by_rule(&rows), expected);
 }
 
-/// A worker that starts with a fifth of two cores can be sent 2.5 times 0.4 cores for 1.5 s: 15,000 tenths.
+/// A worker that starts with a fifth of two cores can be sent 2.5 times 0.4 cores for 1.5 s: 15,000 tenths of a
+/// millisecond of work.
 #[test_case(0, 14_000.0, &[] ; "below its fall")]
 #[test_case(0, 16_000.0, &[(4, 1)] ; "planted: too much at once")]
 #[test_case(90_000, 40_000.0, &[] ; "nearly warm it takes more")]
@@ -156,7 +158,7 @@
     assert_eq!(breaches_by_rule(&[at(5, Kind::Fell, 0, 1)]), [(4, 1)]);
 }
 
-/// One free order and half an order for each event within ten seconds.
+/// One free load request, and half a load request for each request within ten seconds.
 #[test_case(2, 0, 2, &[] ; "within the ration")]
 #[test_case(2, 0, 3, &[(5, 1)] ; "planted: one too many")]
 #[test_case(2, 150_000, 2, &[(5, 1)] ; "planted: its events are too long ago")]
--- a/crates/tidewall-emulator/src/clients.rs
+++ b/crates/tidewall-emulator/src/clients.rs
@@ -1,5 +1,6 @@
-//! Stand-in clients behind a plain front layer: open-loop arrivals drawn by the seed whatever comes of them,
-//! their own patience, retries where those are harmless, and a front that keeps sending to a dead gateway.
+//! Emulated clients behind a simple load balancer: open-loop arrivals drawn with the seed, independent of the
+//! responses, client timeouts, retries where those are harmless, and a balancer that keeps sending to a
+//! failed gateway for a while.
 use crate::terminal::{Heard, Terminal};
 use crate::workers::mark;
 use crate::{of, Ground, Owner};
@@ -15,7 +16,7 @@
 use tidewall_net::{Conn, Net, Time, TimerId};
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame};
 
-/// What clients saw.
+/// Counts of what the clients observed.
 #[derive(Clone, Debug)]
 pub struct Results {
     pub events: u64,
@@ -27,28 +28,31 @@
     pub turned_away: u64,
     pub broken: u64,
     pub unreachable: u64,
-    /// Answers of the last word each event got, by type: handled within the target time, later, asked.
+    /// By request type: requests handled within the target time, handled later, and sent.
     pub good: Vec<u64>,
     pub late: Vec<u64>,
     pub asked: Vec<u64>,
     pub benefit: Vec<f64>,
     pub names: Vec<String>,
-    /// Confirms that did not say what the answer said, or came for none.
+    /// Confirms that contradict the response: an ack without a handled response, or a nack with one.
     pub confirms_wrong: u64,
     pub confirms: u64,
-    /// Events that were asked for again after their connection broke.
+    /// Requests that were sent again after their connection broke.
     pub asked_again: u64,
-    /// Events that their terminals let go, publishes by a second terminal, guests that were let in or not.
+    /// Requests whose AMQP client closed the channel or connection, or stopped reading.
     pub let_go: u64,
+    /// Duplicate publishes by a second AMQP client.
     pub twins: u64,
+    /// Extra logins that were accepted.
     pub guests: u64,
+    /// Extra logins that were refused or broke.
     pub guests_refused: u64,
-    /// From the first try's due time to the answer that handled it, in tenths of a millisecond.
+    /// Time from a request's arrival to the response that it was handled, in tenths of a millisecond.
     pub latency: Histogram<u64>,
 }
 
 impl Results {
-    /// Benefit answered within the target time over the benefit asked for.
+    /// Benefit of requests handled within the target time, divided by the benefit of all requests.
     pub fn service(&self) -> f64 {
         let sum = |counts: &[u64]| -> f64 {
             counts
@@ -77,23 +81,25 @@
     due: Time,
     tries: u64,
     tenant: usize,
-    /// Where its present try is.
+    /// Gateway and connection of the current attempt.
     at: Option<(usize, usize)>,
     sent: bool,
     deadline: Option<TimerId>,
-    /// When this try's client gives up.
+    /// When the client of the current attempt gives up.
     ends: Time,
     leaves: Option<TimerId>,
-    /// A terminal asks this gateway again, as long as its process is certainly the same one.
+    /// Gateway that the next attempt goes to, with its count of broken connections: if that has changed, the
+    /// process may be another one.
     stick: Option<(usize, u64)>,
     stuck: bool,
-    /// The same publish by another terminal: it is not asked again and does not count.
+    /// A duplicate of another request, published by a second client: it is not retried, and left out of the
+    /// results.
     twin: bool,
-    /// This try was sent; of a pair, it is sent again when a connection stands again.
+    /// Whether the current attempt was sent. To a failover pair it is sent again on the next open connection.
     asked: bool,
 }
 
-/// What one terminal told, kept until its bytes are read.
+/// What one AMQP client received, collected until all bytes are decoded.
 #[derive(Default)]
 struct Told {
     ready: bool,
@@ -119,15 +125,15 @@
     at: SocketAddr,
     conns: Vec<(Option<Conn>, bool)>,
     turn: usize,
-    /// Since when no connection stands.
+    /// Since when no connection is open.
     down: Option<Time>,
-    /// Connections that broke without our doing: its process may be another since.
+    /// Connections that the clients did not break: the gateway may have been restarted since.
     broken: u64,
-    /// Connections that we broke.
+    /// Connections that the clients broke themselves.
     cut: Vec<bool>,
 }
 
-/// A connection that belongs to no client: a terminal that logs in and asks for nothing.
+/// An extra AMQP connection that logs in and sends no requests.
 struct Guest {
     conn: Conn,
     terminal: Terminal,
@@ -143,41 +149,46 @@
     patience: f64,
     front: Time,
     payload: usize,
-    /// Draws arrivals only, so that they are the same whatever happens to them.
+    /// Used for arrivals only, so that they do not depend on what happens to requests.
     arrivals: ChaCha8Rng,
     events: Slab<Event>,
     count: u64,
-    /// Arrivals wait for the gateways to be up, so many rounds at most.
+    /// Remaining rounds for which arrivals may wait until all gateways are connected.
     rounds: u32,
-    /// When the next arrival is due, in tenths with their fractions: a late wake-up must not thin the load out.
+    /// When the next arrival is due, in fractional tenths of a millisecond: computed from the previous due
+    /// time, so that a late wake-up does not lower the rate.
     due: f64,
-    /// They publish over AMQP; an event's last word by its try, until its confirm comes.
+    /// Whether the clients publish over AMQP.
     pub amqp: bool,
+    /// Whether the response was `handled`, by request id, until the confirm arrives.
     words: BTreeMap<u64, bool>,
     pub until: Time,
-    /// The gateway is a pair behind one address: what is out is asked for again, and older epochs are not heard.
+    /// Whether the gateway is a failover pair behind one address: unanswered requests are sent again, and a
+    /// gateway with an older epoch is refused.
     pair: bool,
     epoch: u64,
-    /// Pauses between the last connection's end and the next one's beginning.
+    /// Times from the end of the last open connection to the next connection.
     pub pauses: Vec<Time>,
     pub burst: f64,
     pub heavy: f64,
-    /// Terminals publish twice; their clocks are wrong by this factor.
+    /// Whether AMQP clients publish each request twice.
     pub twice: bool,
+    /// Factor by which the clients' clocks are wrong.
     pub skew: f64,
     guests: Slab<Guest>,
-    /// One in so many leaves early.
+    /// One in this many clients abandons its request early.
     pub impatient: u32,
     pub results: Results,
 }
 
-/// A connection is tried again after this long.
+/// Delay before a reconnect.
 const AGAIN: Time = 1_000;
 
-/// One of a pair's address is tried again after this long: a takeover should cost little more than it takes.
+/// Delay before a reconnect to a failover pair: short, so that a takeover costs clients little more than it
+/// takes.
 const SOON: Time = 50;
 
-/// The part of clients that leave early, after a third of their patience.
+/// One in this many clients abandons its request early, after a third of its timeout.
 const IMPATIENT: u32 = 100;
 
 impl Clients {
@@ -269,7 +280,7 @@
                 asked: zeros,
                 benefit: types.iter().map(|t| t.benefit).collect(),
                 names: types.iter().map(|t| t.name.clone()).collect(),
-                // Up to an hour with three digits.
+                // One hour, with three significant digits.
                 latency: Histogram::new_with_bounds(1, 36_000_000, 3).expect("the bounds are good"),
             },
             types,
@@ -284,7 +295,7 @@
         for gw in 0..self.gateways.len() {
             (0..self.gateways[gw].conns.len()).for_each(|n| self.connect(g, gw, n));
         }
-        // Connections come first; then the open-loop arrivals.
+        // The arrivals start after the connections had time to open.
         let now = g.net.now();
         g.net.set_timer(now + 2 * AGAIN, of::NEXT);
     }
@@ -362,13 +373,14 @@
                 ..Row::default()
             });
             self.results.broken += 1;
-            // Only where a repeat does no harm: nobody knows what became of it.
+            // The request may have been executed, so it is retried only where a repeat is harmless.
             let harmless = self.harmless(g.programs[self.events[key].program].typ);
             self.over(g, key, harmless, 0);
         }
     }
 
-    /// A terminal does not wait any longer on this channel, by its own doing; it asks again with the same message-id.
+    /// An AMQP client no longer waits on this connection, by its own doing: records its unanswered requests
+    /// as given up, and retries them with the same message-id.
     fn let_go<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         let out: Vec<usize> = self
             .events
@@ -391,7 +403,7 @@
         }
     }
 
-    /// Breaks a terminal's connection at some byte of a publish.
+    /// Breaks an AMQP client's connection at a random byte of a publish.
     pub fn cut<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         let Some(conn) = self.gateways[gw].conns[n]
             .0
@@ -417,7 +429,7 @@
         g.net.abort(conn);
     }
 
-    /// Closes a terminal's channel, whatever is on its way on it.
+    /// Closes an AMQP client's channel with requests in flight on it.
     pub fn close_channel<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         let Some(conn) = self.gateways[gw].conns[n]
             .0
@@ -432,7 +444,7 @@
         self.let_go(g, gw, n);
     }
 
-    /// A terminal reads nothing from now on.
+    /// Makes an AMQP client stop reading.
     pub fn slow<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         let Some(conn) = self.gateways[gw].conns[n]
             .0
@@ -445,7 +457,7 @@
         self.let_go(g, gw, n);
     }
 
-    /// It has read nothing for long enough and breaks its connection.
+    /// Breaks the connection of an AMQP client that stopped reading.
     pub fn slow_over<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         if let Some(conn) = self.gateways[gw].conns[n].0 {
             self.gateways[gw].cut[n] = true;
@@ -453,7 +465,7 @@
         }
     }
 
-    /// Terminals, as (gateway, place).
+    /// Open connections, as (gateway, connection).
     pub fn lines(&self) -> Vec<(usize, usize)> {
         let each = |gw: usize| (0..self.gateways[gw].conns.len()).map(move |n| (gw, n));
         (0..self.gateways.len())
@@ -462,7 +474,8 @@
             .collect()
     }
 
-    /// So many further terminals log in at once.
+    /// Logs in `count` extra AMQP clients at once, each with a queue of `hoard` messages that it never acks
+    /// (0 for none).
     pub fn guests<N: Net>(&mut self, g: &mut Ground<N>, count: usize, hoard: u64) {
         for i in 0..count {
             let conn = g
@@ -522,7 +535,7 @@
         e.number * TRIES + e.tries - 1
     }
 
-    /// The connection may be asked on.
+    /// The connection can take requests.
     fn ready<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         self.gateways[gw].conns[n].1 = true;
         let since = self.gateways[gw].down.take();
@@ -539,7 +552,7 @@
         }
     }
 
-    /// What is out is asked for again, by the same id and mark.
+    /// Sends unanswered requests again, with the same id and idempotency key.
     fn ask_again<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
         let now = g.net.now();
         let out: Vec<usize> = self
@@ -556,7 +569,7 @@
         }
     }
 
-    /// The next arrival, and the one after it.
+    /// Handles the arrivals that are due, and sets the timer for the next one.
     pub fn next<N: Net>(&mut self, g: &mut Ground<N>) {
         let now = g.net.now();
         if now >= self.until {
@@ -588,7 +601,7 @@
             .programs
             .partition_point(|p| p.upto < draw)
             .min(g.programs.len() - 1);
-        // Work spreads by a third round its mean, as of programs whose input varies.
+        // Work varies by about a third around its mean, as in functions whose input varies.
         let spread: f64 = LogNormal::new(-0.05, 0.32)
             .expect("good")
             .sample(&mut self.arrivals);
@@ -621,17 +634,17 @@
         self.again(g, key);
     }
 
-    /// One try.
+    /// Starts one attempt of a client at a request.
     pub fn again<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
         let now = g.net.now();
         let typ = g.programs[self.events[key].program].typ;
         let ends = self.events[key].due + self.types[typ].age;
         let left =
             ((self.types[typ].age as f64 * self.patience) as Time).min(ends.saturating_sub(now));
-        // A wrong clock tells another time, which both ends go by.
+        // A client with a wrong clock uses and sends another timeout.
         let left = ((left as f64 * self.skew) as Time).min(self.types[typ].age);
-        // An event that its terminal let go may be asked again where the first asking is known, or where that is
-        // harmless.
+        // A request that its AMQP client gave up may be sent again to the same process, which knows it, or
+        // where a repeat is harmless.
         let stick = self.events[key]
             .stick
             .take()
@@ -643,7 +656,7 @@
         }
         self.events[key].tries += 1;
         self.results.tries += 1;
-        // The front spreads evenly; it leaves out a gateway only when that has been down for a while.
+        // The balancer draws uniformly, and skips a gateway only after it has been down for `front`.
         let open = |gw: &Gateway, front: Time| gw.down.is_none_or(|since| now < since + front);
         let fit: Vec<usize> = (0..self.gateways.len())
             .filter(|gw| open(&self.gateways[*gw], self.front))
@@ -660,7 +673,7 @@
             .filter(|n| gateway.conns[*n].1)
             .collect();
         if ready.is_empty() && self.pair {
-            // It waits for a connection, as long as its client does.
+            // The attempt waits for a connection until its client gives up.
             let e = &mut self.events[key];
             (e.ends, e.asked, e.sent, e.at) = (now + left, false, false, Some((gw, usize::MAX)));
             let late = g
@@ -682,7 +695,7 @@
             g.net
                 .set_timer(ends + tidewall_audit::GRACE, of::LATE | key as u64),
         );
-        // AMQP knows no leaving.
+        // AMQP has no message to abandon a request.
         if g.chance.random_ratio(1, self.impatient) && !self.amqp && !self.pair {
             self.events[key].leaves = Some(g.net.set_timer(now + left / 3, of::LEAVE | key as u64));
         }
@@ -692,7 +705,7 @@
         }
     }
 
-    /// Sends one try on a connection, whose client gives up after `left`.
+    /// Sends an attempt on a connection; its client gives up after `left`.
     fn ask<N: Net>(&mut self, g: &mut Ground<N>, key: usize, (gw, n): (usize, usize), left: Time) {
         let Some(conn) = self.gateways[gw].conns[n].0 else {
             return;
@@ -739,7 +752,7 @@
         }
         (e.at, e.sent) = (Some((gw, n)), true);
         let again = std::mem::replace(&mut e.asked, true);
-        // On record before it is on the wire, or its launch might seem to come first.
+        // Recorded before it is sent, so that no launch of it can be recorded first.
         let k = if again { Kind::AskedAgain } else { Kind::Asked };
         g.row(Row {
             k,
@@ -765,7 +778,7 @@
         }
     }
 
-    /// The same publish by another terminal of the gateway, with the same message-id.
+    /// Publishes the request again as another AMQP client of the gateway, with the same message-id.
     fn twin<N: Net>(&mut self, g: &mut Ground<N>, of: usize, (gw, n): (usize, usize), left: Time) {
         let now = g.net.now();
         let e = &self.events[of];
@@ -821,13 +834,14 @@
         }
     }
 
-    /// Whether a repeat does no harm.
+    /// Whether a repeat is harmless: the type is redeliverable, or keyed with a scope of all workers.
     fn harmless(&self, typ: usize) -> bool {
         let typ = &self.types[typ];
         typ.redelivery == "REDELIVERABLE" || typ.redelivery == "KEYED" && typ.all
     }
 
-    /// The present try is over; another follows where that is harmless and something is left.
+    /// Ends the current attempt, and retries if `again` is set, retries are left and the request is young
+    /// enough.
     fn over<N: Net>(&mut self, g: &mut Ground<N>, key: usize, again: bool, come_back: Time) {
         let now = g.net.now();
         let e = &mut self.events[key];
@@ -871,7 +885,7 @@
                 let (evt, word) = (fields.whole(Field::Id)?, fields.text(Field::Word)?);
                 let come_back = fields.upto(Field::ComeBack, 1 << 30, 0)?;
                 if self.pair && word == "turned-away" && fields.word(Field::Reason)? == "draining" {
-                    // Another one serves: it is asked there.
+                    // The other member serves: closing the connection makes the client connect to it.
                     return Err("another member serves".to_string());
                 }
                 self.answer(g, gw, evt, word, come_back)
@@ -882,7 +896,7 @@
         }
     }
 
-    /// Bytes of a terminal's connection.
+    /// Decodes the bytes that an AMQP client received.
     pub fn terminal<N: Net>(
         &mut self,
         g: &mut Ground<N>,
@@ -910,7 +924,7 @@
         }
         for (evt, good) in told.confirms {
             self.results.confirms += 1;
-            // A nack without an answer is one whose time had passed.
+            // A nack without a response is right: the request's time had passed.
             let handled = self.words.remove(&evt) == Some(true);
             self.results.confirms_wrong += u64::from(handled != good);
         }
@@ -980,7 +994,7 @@
         Ok(())
     }
 
-    /// Its time passed, and the grace with it.
+    /// The attempt's timeout and the grace after it passed without a response.
     pub fn late<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
         let (evt, gw) = (self.id(key), self.events[key].at.map_or(0, |a| a.0));
         if self.pair && !self.events[key].asked {
@@ -1002,7 +1016,7 @@
         self.over(g, key, again, 0);
     }
 
-    /// It leaves early and says so.
+    /// The client abandons the request early, and tells the gateway.
     pub fn leave<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
         let evt = self.id(key);
         let Some((gw, _)) = self.events[key].at else {
@@ -1020,7 +1034,7 @@
         self.over(g, key, false, 0);
     }
 
-    /// Tells the gateway that no answer is wanted any more. AMQP knows no such message.
+    /// Tells the gateway that no response is needed. AMQP has no such message.
     fn say_leave<N: Net>(&mut self, g: &mut Ground<N>, key: usize, evt: u64) {
         let at = self.events[key].at.filter(|_| !self.amqp);
         let conn = at.and_then(|(gw, n)| self.gateways[gw].conns.get(n)?.0);
--- a/crates/tidewall-emulator/src/depot.rs
+++ b/crates/tidewall-emulator/src/depot.rs
@@ -1,4 +1,5 @@
-//! The stand-in depot: fetches share its pace, it turns them away past a limit, and it can stall.
+//! The emulated artifact store: concurrent fetches share its capacity, fetches beyond a limit are refused,
+//! and a fault can stall or slow it.
 use crate::{of, Ground};
 use slab::Slab;
 use std::net::SocketAddr;
@@ -12,8 +13,9 @@
     capacity: usize,
     most: usize,
     fetches: Slab<(Conn, u64)>,
-    /// It serves nothing until then, and is so many times slower.
+    /// No fetch completes before this time.
     pub stalled: Time,
+    /// Factor by which fetches take longer.
     pub slow: f64,
 }
 
@@ -52,7 +54,8 @@
             return Ok(());
         }
         let key = self.fetches.insert((conn, id));
-        // All fetches under way share the pace; what was begun keeps the time that it was given.
+        // A fetch slows down with the fetches in progress when it starts. Later ones don't change its
+        // duration.
         let crowd = (self.fetches.len() as f64 / self.capacity as f64).max(1.0);
         let now = g.net.now();
         let at = now.max(self.stalled) + (hint as f64 * crowd * self.slow) as Time;
--- a/crates/tidewall-emulator/src/faults.rs
+++ b/crates/tidewall-emulator/src/faults.rs
@@ -1,4 +1,5 @@
-//! Plays a script: each fault begins at its time, hits workers or gateways drawn by the seed, and ends.
+//! Scripted faults: each starts at its time, affects workers, gateways or clients drawn with the seed, and
+//! ends.
 use crate::workers::At;
 use crate::{of, Fleet, Gateways, Ground};
 use rand::seq::IndexedRandom;
@@ -13,14 +14,14 @@
     count: usize,
     machine: String,
     factor: f64,
-    /// Whom it hit.
+    /// Indices of the workers, gateways or connections that it affects.
     hit: Vec<usize>,
 }
 
 pub struct Faults {
     list: Vec<Fault>,
     pub gateways: Box<dyn Gateways>,
-    /// Gateways that are down or stand still: they are not hit again meanwhile.
+    /// Gateways that are killed or suspended: no other fault selects them meanwhile.
     busy: Vec<usize>,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl<N: Net> Fleet<N> {
-    /// Workers that are well, of the kind that the fault is for.
+    /// Workers without a fault, of the machine kind that the fault is for (any if empty).
     fn fit(&self, machine: &str) -> Vec<usize> {
         let well = |w: &crate::workers::Worker| {
             w.up && !w.draining && w.hung == 0 && w.silent == 0 && w.slow == 1.0
@@ -65,7 +66,7 @@
             .collect()
     }
 
-    /// Somebody else killed a gateway, or started it again.
+    /// Records that the caller killed a gateway, or started it again.
     pub fn killed(&mut self, gw: usize, killed: bool) {
         let k = if killed { Kind::Killed } else { Kind::Up };
         self.ground.row(Row {
@@ -75,7 +76,8 @@
         });
     }
 
-    /// Nothing gets to or from a gateway, or again: to its clients it stands still.
+    /// Records that a gateway is cut off from the network, or reachable again; to its clients it is the same
+    /// as a suspended process.
     pub fn apart(&mut self, gw: usize, apart: bool) {
         let k = if apart { Kind::Still } else { Kind::Going };
         self.ground.row(Row {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Troubles of terminals; `hit` are those that it takes to end one.
+    /// Starts a fault of AMQP clients; adds to `hit` the connections that are needed to end it.
     fn terminals(&mut self, trouble: &str, count: usize, factor: f64, hit: &mut Vec<usize>) {
         let g = &mut self.ground;
         let lines = self.clients.lines();
@@ -264,7 +266,7 @@
                     if trouble == "WORKER_DRAIN" {
                         self.workers.kill(g, which);
                     }
-                    // One that fell over stays down.
+                    // A worker that fell over is not restarted.
                     if !self.workers.list[which].fallen && self.workers.start(g, which) {
                         let w = &self.workers.list[which];
                         let (life, since) = (w.life, w.since);
--- a/crates/tidewall-emulator/src/lib.rs
+++ b/crates/tidewall-emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! A stand-in fleet: workers, depot, roster and clients as one app of `tidewall-net`, with faults from a
-//! script. What crosses their ends of the sockets is recorded for `tidewall-audit`. They know nothing of a
-//! gateway's inside.
+//! An emulated fleet: workers, artifact store, discovery server and clients as one `tidewall-net` app, with
+//! scripted faults. What is sent and received on its ends of the sockets is recorded for `tidewall-audit`.
+//! Nothing here uses a gateway's internal state.
 mod clients;
 mod depot;
 mod faults;
@@ -25,12 +25,12 @@
 use tracing::warn;
 use workers::Workers;
 
-/// Whom a connection belongs to; workers and gateways by index.
+/// Emulated component that a connection belongs to; workers and gateways by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Owner {
     Nobody,
     Worker(usize),
-    /// A worker's own connection to the depot.
+    /// A worker's connection to the artifact store.
     Fetcher(usize),
     Depot,
     Roster,
@@ -41,7 +41,7 @@
     Guest(usize),
 }
 
-/// What a deadline's token stands for, in its top byte.
+/// Kinds of timers, in the top byte of a timer's token.
 pub(crate) mod of {
     pub const RUN: u64 = 1 << 56;
     pub const START: u64 = 2 << 56;
@@ -59,7 +59,7 @@
     pub const WHAT: u64 = 0xff << 56;
 }
 
-/// A program of the fleet.
+/// A function that the fleet's workers can load. Times are tenths of a millisecond.
 pub(crate) struct Program {
     pub name: String,
     pub typ: usize,
@@ -68,18 +68,18 @@
     pub lanes: u32,
     pub fetch: Time,
     pub start: Time,
-    /// Its part of all events, summed up to here.
+    /// Share of all requests that goes to this function and those before it in the list.
     pub upto: f64,
 }
 
-/// What all parts use.
+/// State that all emulated components share.
 pub(crate) struct Ground<N: Net> {
     pub net: N,
     owners: Vec<(u32, Owner)>,
     record: Box<dyn Write>,
     pub chance: ChaCha8Rng,
     pub programs: Vec<Program>,
-    /// Name, address, zone, machine and rating of each worker, as the roster tells them.
+    /// Name, address, zone, machine kind and rating of each worker, as the endpoint list gives them.
     pub listed: Vec<(String, SocketAddr, usize, String, f64)>,
     pub out: Vec<u8>,
 }
@@ -109,7 +109,7 @@
     }
 
     fn line(&mut self, value: &impl serde::Serialize) {
-        // A record that cannot be written would make every verdict empty: that ends the run.
+        // A missing row could hide a breach from the audit, so a failed write ends the run.
         serde_json::to_writer(&mut self.record, value).expect("the record can be written");
         self.record
             .write_all(b"\n")
@@ -117,18 +117,18 @@
     }
 }
 
-/// Who runs the gateways' processes.
+/// Control over the gateways' processes, for faults that kill or suspend them.
 pub trait Gateways {
     fn kill(&mut self, gw: usize);
     fn start(&mut self, gw: usize);
     fn still(&mut self, gw: usize, on: bool);
-    /// How many processes there are, where a pair serves one address; none where each gateway is one.
+    /// Number of processes if a failover pair serves one address; `None` if each gateway is one process.
     fn members(&self) -> Option<usize> {
         None
     }
 }
 
-/// Gateways that somebody else runs.
+/// For gateways that are not under the fleet's control: faults on them have no effect.
 pub struct NoGateways;
 
 impl Gateways for NoGateways {
@@ -146,32 +146,32 @@
     faults: Faults,
 }
 
-/// How a fleet is run, besides its settings.
+/// Options of a run that are not in the settings.
 pub struct Plan {
     pub seed: u64,
-    /// How long clients send; 0 for ever.
+    /// How long clients send requests; 0 for no end.
     pub seconds: f64,
-    /// Whether there are clients at all.
+    /// Whether the clients run.
     pub clients: bool,
-    /// Whether they come by AMQP.
+    /// Whether the clients use AMQP instead of the native protocol.
     pub amqp: bool,
     pub record: Box<dyn Write>,
     pub gateways: Box<dyn Gateways>,
-    /// Whether workers look at a pair's epochs; not only where the audit is to notice.
+    /// Whether workers check the epochs of a failover pair; turned off to show that the audit notices it.
     pub fences: bool,
-    /// Voters that forget what they promised: as above.
+    /// Whether voters forget the ballots they promised; turned on to show that the audit notices it.
     pub forgets: bool,
-    /// Whether workers look at the epochs of fleet-wide tasks: as above.
+    /// Whether workers check the epochs of fleet-wide tasks; turned off to show that the audit notices it.
     pub task_epochs: bool,
-    /// The members' clocks are beyond their bound, and the audit is to know.
+    /// Whether the members' clocks exceed their configured bound, which the audit has to allow for.
     pub wild_clocks: bool,
 }
 
-/// Later than the last event's max age by this, the day ends.
+/// The run ends this long after the clients' last request can have reached its maximum age.
 const AFTERMATH: Time = 5_000;
 
 impl<N: Net> Fleet<N> {
-    /// Opens all listeners; the line of an error names the address.
+    /// Opens all listeners; an error names the address.
     pub fn new(
         net: N,
         settings: &Section,
@@ -232,7 +232,7 @@
         &self.clients.results
     }
 
-    /// Loads that were begun, copies that were missed, and events that a hall's workers dropped as repeats.
+    /// Loads started, misses, and requests that were dropped as repeats of a known idempotency key.
     pub fn loads(&self) -> (u64, u64, u64) {
         (
             self.workers.loads,
@@ -241,17 +241,17 @@
         )
     }
 
-    /// How long clients found nobody at a pair's address, each time.
+    /// Duration of each interval in which no client was connected to a failover pair's address.
     pub fn pauses(&self) -> &[Time] {
         &self.clients.pauses
     }
 
-    /// Launches of a pair's member that were refused as it no longer serves.
+    /// Attempts refused because the member of a pair that sent them no longer serves.
     pub fn refused(&self) -> u64 {
         self.workers.refused
     }
 
-    /// Its workers, by name.
+    /// Names and addresses of the workers.
     pub fn workers(&self) -> Vec<(String, SocketAddr)> {
         self.workers
             .list
@@ -260,7 +260,8 @@
             .collect()
     }
 
-    /// The roster tells that the workers stand there: at a relay's addresses, in their order.
+    /// Makes the endpoint list give these addresses, in the workers' order, instead of the workers' own: a
+    /// relay listens there.
     pub fn fronts(&mut self, at: &[SocketAddr]) {
         self.ground
             .listed
@@ -294,7 +295,7 @@
     }
 }
 
-/// The programs with their shares summed up, popular ones first within each group (Zipf's law).
+/// The functions with their cumulative shares; within a group the shares follow Zipf's law, largest first.
 fn programs(settings: &Section, fleet: &Section) -> Vec<Program> {
     let types: Vec<String> = settings
         .sections("event_type")
--- a/crates/tidewall-emulator/src/roster.rs
+++ b/crates/tidewall-emulator/src/roster.rs
@@ -1,5 +1,5 @@
-//! The stand-in roster: it tells where workers stand, late, and does not see that a process hangs until long
-//! after.
+//! The emulated discovery server: it publishes the workers' states with a delay, and reports a hung process
+//! as gone only after the silence timeout.
 use crate::workers::{At, Workers};
 use crate::{of, Ground, Owner};
 use std::collections::VecDeque;
@@ -15,14 +15,14 @@
     zones: Vec<String>,
     late: Time,
     pub silent_notice: Time,
-    /// Gateways that follow, with their index.
+    /// Connections that subscribed to updates, with the gateway's index.
     followers: Vec<(Conn, usize)>,
     greeted: Vec<(Conn, usize)>,
-    /// What it knows of each worker: standing, life, start.
+    /// Published state, incarnation and start time of each worker.
     known: Vec<(At, u64, Time)>,
-    /// What it will know, and when.
+    /// Changes not yet published: when they will be, worker, state, incarnation, start time.
     news: VecDeque<(Time, usize, At, u64, Time)>,
-    /// It tells nothing until then.
+    /// Nothing is sent before this time.
     pub silent: Time,
     generation: u64,
 }
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Something changed; it will be known after a while.
+    /// A worker's state changed; publishes it after `wait`, or after the configured delay.
     pub fn news<N: Net>(
         &mut self,
         g: &mut Ground<N>,
@@ -109,7 +109,7 @@
         g.net.set_timer(when, of::TELL);
     }
 
-    /// A notice that is no longer true: the process that seemed to hang goes on.
+    /// Drops the pending reports that a worker is gone: its hung process has resumed.
     pub fn unsay(&mut self, wk: usize) {
         self.news.retain(|n| n.1 != wk || n.2 != At::Gone);
     }
@@ -125,7 +125,7 @@
             when > now
         });
         if now < self.silent {
-            // Whatever happened meanwhile is told as a whole list afterwards.
+            // Changes made in the meantime are sent afterwards, as a complete list.
             g.net.set_timer(self.silent, of::TELL);
             return;
         }
@@ -200,7 +200,7 @@
         g.net.write(conn, &g.out);
     }
 
-    /// All its connections break, and nobody gets through until it is back.
+    /// Stops listening and resets all connections of gateways, until `back`.
     pub fn gone<N: Net>(&mut self, g: &mut Ground<N>) {
         if let Some(listener) = self.listener.take() {
             g.net.stop_listening(listener);
--- a/crates/tidewall-emulator/src/terminal.rs
+++ b/crates/tidewall-emulator/src/terminal.rs
@@ -1,11 +1,11 @@
-//! A stand-in terminal's end of AMQP 0-9-1: it logs in, opens one channel with confirms and direct replies, and
-//! publishes. What it gets is told by `Heard`; it knows nothing of events.
+//! An emulated client's end of AMQP 0-9-1: it logs in, opens one channel with publisher confirms and direct
+//! reply-to, and publishes. Incoming replies and confirms go to `Heard`.
 use std::collections::BTreeMap;
 use tidewall_amqp::codec::{
     self, ArgumentReader, BasicProperties, FieldValue, FrameWriter, MethodId, TableWriter,
 };
 
-/// What a terminal hears.
+/// Receives what the broker sends to a client.
 pub trait Heard {
     fn ready(&mut self);
     fn answer(&mut self, evt: u64, word: &str, come_back: u64);
@@ -14,16 +14,17 @@
 
 #[derive(Default)]
 pub struct Terminal {
-    /// What the content that follows belongs to: a delivery, or something to pass over.
+    /// Whether the content that follows belongs to a delivery; other content is skipped.
     delivery: bool,
     head: Option<u64>,
     got: u64,
     published: u64,
-    /// Publishes without a confirm, by their number.
+    /// Publishes that are not confirmed yet, by delivery tag.
     out: BTreeMap<u64, u64>,
-    /// Its channel is being closed: what still comes on it is passed over.
+    /// The channel is being closed: what still arrives on it is skipped.
     closing: bool,
-    /// It consumes a queue of so many messages of its own and never acks.
+    /// Number of messages in a queue of its own that it consumes without acks; 0 for a client that publishes
+    /// requests.
     hoard: u64,
 }
 
@@ -38,7 +39,8 @@
         out.extend_from_slice(&codec::PROTOCOL_HEADER);
     }
 
-    /// It publishes no events; it consumes a queue of so many messages of its own.
+    /// A client that publishes no requests: it consumes a queue of `hoard` messages of its own and never
+    /// acks.
     pub fn hoarder(hoard: u64) -> Terminal {
         Terminal {
             hoard,
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Closes the channel; it is opened again when that is done.
+    /// Closes the channel; it is opened again when the broker confirms the close.
     pub fn close_channel(&mut self, out: &mut Vec<u8>) {
         self.closing = true;
         FrameWriter::method(out, 1, MethodId::new(20, 40))
@@ -57,7 +59,7 @@
             .finish();
     }
 
-    /// A queue of its own, its messages, and a consumer that never acks.
+    /// Declares a queue; the reply to it publishes the messages and starts the consumer that never acks.
     fn hoards(&mut self, out: &mut Vec<u8>) {
         let m = FrameWriter::method(out, 1, MethodId::new(50, 10))
             .short(0)
@@ -180,7 +182,7 @@
                     codec::encode_properties(&mut properties, &BasicProperties::default());
                     codec::write_content(out, 1, &properties, b"kept", 131_072);
                 }
-                // Its own consume-ok says ready once deliveries are on.
+                // With `delivery` set, the consume-ok of this queue reports the client as ready.
                 self.delivery = true;
                 let m = FrameWriter::method(out, 1, MethodId::new(60, 20))
                     .short(0)
@@ -215,7 +217,7 @@
         Ok(())
     }
 
-    /// One event, as a publish to the trigger exchange.
+    /// Publishes one request to the trigger exchange.
     #[allow(clippy::too_many_arguments)] // the fields of the publish
     pub fn publish(
         &mut self,
--- a/crates/tidewall-emulator/src/workers.rs
+++ b/crates/tidewall-emulator/src/workers.rs
@@ -1,5 +1,6 @@
-//! Stand-in workers: memory, lanes, a queue, run times, loads from the depot, misses, idle unloading, a cold
-//! start that can be pushed over, repeats dropped within a hall and window, drains, and late reports.
+//! Emulated workers: memory, lanes, a queue, run times, loads from the artifact store, misses, unloading of
+//! idle instances, a slow start with failure under overload, repeats dropped within the scope and window of
+//! an idempotency key, drains, and stale load reports.
 use crate::{of, Ground, Owner};
 use slab::Slab;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,7 +12,7 @@
 use tidewall_net::{Conn, Listener, Net, Time, TimerId};
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame};
 
-/// Where a worker stands.
+/// State of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum At {
     On,
@@ -19,7 +20,7 @@
     Gone,
 }
 
-/// One event at a worker.
+/// A launch attempt at a worker, queued or running.
 struct Run {
     conn: Conn,
     id: u64,
@@ -29,13 +30,13 @@
     mark: u64,
     came: Time,
     running: bool,
-    /// 1 it met a loaded copy, 3 it waited for one.
+    /// 1 if an instance was loaded when the attempt arrived, 3 if the attempt waited for one.
     copy: u64,
     company: u64,
     deadline: Option<TimerId>,
 }
 
-/// The copies of one program.
+/// The instances of one function at a worker.
 #[derive(Default)]
 struct Copies {
     standing: u64,
@@ -43,7 +44,7 @@
     running: u32,
     waiting: VecDeque<usize>,
     idle_since: Time,
-    /// Orders that wait for so many copies.
+    /// Load requests, as connection, id and number of instances that they wait for.
     orders: Vec<(Conn, u64, u64)>,
 }
 
@@ -62,26 +63,26 @@
     pub draining: bool,
     pub fallen: bool,
     pub life: u64,
-    /// 0: long ago.
+    /// Time of the last start; 0 if the worker was warm from the beginning.
     pub since: Time,
     pub hung: Time,
     pub silent: Time,
     pub slow: f64,
     pub late_reports: bool,
     gateways: Vec<(Conn, usize)>,
-    /// Which member of a pair a connection is of, from 1 on.
+    /// Connections of a failover pair's members, with the member's number, counted from 1.
     members: Vec<(Conn, usize)>,
-    /// Runs whose ends it kept to itself.
+    /// Attempts that ended while the worker was silent, so that their end was never sent.
     swallowed: Vec<(Conn, u64)>,
-    /// What it keeps for a pair, across its own restarts.
+    /// Voter state for a failover pair; it survives restarts of the worker.
     promise: LeadershipAcceptor,
-    /// The highest epoch that took effect here, by task: kept across restarts, as the promise is.
+    /// The highest epoch that took effect here, by task; it survives restarts, as the voter state does.
     epochs: BTreeMap<u64, u64>,
     depot: Option<Conn>,
     depot_up: bool,
     runs: Slab<Run>,
     copies: BTreeMap<usize, Copies>,
-    /// Loads under way, by program; the key is told to the depot.
+    /// Functions of the loads in progress; the key is part of the id of a fetch at the artifact store.
     loads: Slab<usize>,
     busy: u32,
     waiting: usize,
@@ -100,29 +101,30 @@
     busy: bool,
     with_answers: bool,
     windows: Vec<Time>,
-    /// Types whose marks are known in all halls: kept with the first one.
+    /// Whether a request type's idempotency keys hold in all zones; those are kept with the first zone's.
     alls: Vec<bool>,
-    /// Marks that a hall's workers know, with the time of the first run.
+    /// By zone, the idempotency keys that its workers know, with the time of the first run.
     marks: Vec<BTreeMap<u64, Time>>,
     pub loads: u64,
     pub misses: u64,
     pub dropped: u64,
-    /// Workers that fell over since this was last asked.
+    /// Workers that fell over and were not yet reported to the discovery server.
     pub fell: Vec<usize>,
-    /// Whether epochs are looked at: turned off only to show that the audit notices.
+    /// Whether the epochs of a failover pair are checked; turned off only to show that the audit notices it.
     pub fences: bool,
     pub forgets: bool,
-    /// How old a ticket may be that an act goes by; whether epochs of tasks are looked at.
+    /// Maximum age of the ticket that an effect of a task carries.
     ticket: Time,
+    /// Whether the epochs of fleet-wide tasks are checked.
     pub task_epochs: bool,
-    /// Launches of a member that no longer serves.
+    /// Attempts refused because their member of a pair no longer serves.
     pub refused: u64,
 }
 
-/// How often idle copies and old marks are looked at.
+/// Interval at which idle instances are unloaded and expired idempotency keys are removed.
 const IDLE: Time = 2_500;
 
-/// A late report is this old.
+/// Age of the load report that a worker sends under the fault of late reports.
 const LATE_REPORT: Time = 10_000;
 
 impl Workers {
@@ -268,7 +270,7 @@
         match fields.kind()? {
             kind::PREPARE | kind::ACCEPT => self.vote(g, wk, conn, fields),
             kind::TICKET => {
-                // Its own clock's time: nobody else has to know what it means.
+                // The time of the worker's own clock: only the worker interprets it.
                 let now = g.net.now();
                 if now >= self.list[wk].silent {
                     g.out.clear();
@@ -283,7 +285,7 @@
             kind::LAUNCH => self.launch(g, wk, conn, gw, fields),
             kind::CANCEL => {
                 let id = fields.whole(Field::Id)?;
-                // Running work goes on; what waits is dropped.
+                // A running attempt continues; a queued one is dropped.
                 let w = &mut self.list[wk];
                 let found = w
                     .runs
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Whether this came from a member of a pair that may still send.
+    /// Whether the sender may still send: it is no member of a failover pair, or its epoch is not fenced.
     fn may(&self, wk: usize, conn: Conn, fields: &Fields) -> Result<bool, String> {
         let w = &self.list[wk];
         let member = w.members.iter().find(|m| m.0 == conn).map(|m| m.1);
@@ -356,7 +358,7 @@
         Ok(!self.fences || member.is_none_or(|m| w.promise.permits(m - 1, epoch)))
     }
 
-    /// A pair's question: what was promised and accepted here.
+    /// Handles a prepare or accept of a failover pair, and replies with what is promised and accepted here.
     fn vote<N: Net>(
         &mut self,
         g: &mut Ground<N>,
@@ -382,7 +384,7 @@
         };
         let p = *promise;
         if good && self.fences {
-            // Whoever no longer serves has nothing out here any more.
+            // A member that no longer serves loses its connections, and its attempts go unanswered.
             let w = &self.list[wk];
             let ends: Vec<Conn> = w
                 .members
@@ -416,7 +418,8 @@
         Ok(())
     }
 
-    /// An act on a fleet-wide task: it takes effect where its ticket is fresh and no newer epoch took effect here.
+    /// Handles an effect of a fleet-wide task: it is carried out if its ticket is not expired and no newer
+    /// epoch took effect here.
     fn act<N: Net>(
         &mut self,
         g: &mut Ground<N>,
@@ -438,7 +441,7 @@
         if fields.whole(Field::Check)? != checksum(&[id, task, epoch, gw as u64, life, ticket]) {
             return Err("field check: the act was changed on its way".to_string());
         }
-        // One that is yet to be given out is none.
+        // A ticket with a time in the future was never issued.
         let late = ticket > now || now > ticket.saturating_add(self.ticket);
         let seen = self.list[wk].epochs.get(&task).copied().unwrap_or(0);
         let older = self.task_epochs && epoch < seen;
@@ -525,7 +528,7 @@
         let (id, evt) = (fields.whole(Field::Id)?, fields.whole(Field::Event)?);
         let name = fields.text(Field::Function)?;
         let mark = fields.bytes(Field::Mark)?;
-        // The stand-ins' clients tell the real work in the payload: a gateway knows only the hint.
+        // The emulated clients put the real amount of work in the payload; a gateway knows only the hint.
         let payload = fields.bytes(Field::Payload)?;
         let Some(program) = g.programs.iter().position(|p| p.name == name) else {
             return Err(format!(
@@ -541,7 +544,7 @@
             .map_or(0, |b| u64::from_be_bytes(*b));
         let typ = g.programs[program].typ;
         if !self.may(wk, conn, fields)? {
-            // It reached nobody who would run it.
+            // A fenced attempt is not recorded as launched, because it is never executed.
             self.refused += 1;
             g.out.clear();
             let f = Frame::new(&mut g.out, kind::END).whole(Field::Id, id);
@@ -560,7 +563,7 @@
         });
         self.push(g, wk, work);
         if !self.list[wk].up {
-            return Ok(()); // it fell over by this one
+            return Ok(()); // this attempt overloaded it
         }
         let w = &mut self.list[wk];
         let c = w.copies.entry(program).or_default();
@@ -586,7 +589,7 @@
         if w.draining || full {
             self.end(g, wk, key, "full", 0);
         } else if mark > 0 && known.is_some_and(|first| now < first + window) {
-            // A repeat: the hall knows its mark, so its effect stands.
+            // A repeat: its idempotency key is known in the scope, so it has had its effect already.
             self.dropped += 1;
             self.end(g, wk, key, "ok", 1);
         } else if none && self.miss {
@@ -603,7 +606,8 @@
         Ok(())
     }
 
-    /// What reaches a cold worker adds to the pressure under which it falls over.
+    /// Adds an attempt's work to the recent work of the worker. A worker in slow start falls over if the work
+    /// within the window exceeds a multiple of what it can do in that time.
     fn push<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, work: f64) {
         let now = g.net.now();
         let part = self.part(&self.list[wk], now);
@@ -626,7 +630,7 @@
         }
     }
 
-    /// Starts what may run: a lane of a standing copy is free.
+    /// Runs queued attempts while a lane of a loaded instance is free.
     fn go_on<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, program: usize) {
         loop {
             let now = g.net.now();
@@ -643,7 +647,7 @@
             let (mark, hall) = (w.runs[key].mark, if self.alls[typ] { 0 } else { w.zone });
             let first = self.marks[hall].get(&mark).copied().filter(|_| mark > 0);
             if first.is_some_and(|first| now < first + self.windows[typ]) {
-                // The same came twice and both waited: the first of them ran.
+                // Two attempts with the same idempotency key were queued, and the first one ran.
                 w.waiting -= 1;
                 self.dropped += 1;
                 self.end(g, wk, key, "ok", 1);
@@ -666,7 +670,7 @@
         }
     }
 
-    /// A run is through.
+    /// A running attempt has finished, unless the worker hangs.
     pub fn ran<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, key: usize) {
         let w = &mut self.list[wk];
         if g.net.now() < w.hung {
@@ -696,7 +700,7 @@
         self.go_on(g, wk, program);
     }
 
-    /// The worker's one answer to a launch.
+    /// Removes an attempt and sends its one response, unless the gateway is gone or the worker is silent.
     fn end<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, key: usize, outcome: &str, copy: u64) {
         let now = g.net.now();
         let (flight, busy) = self.report(now, wk);
@@ -704,7 +708,7 @@
         let run = w.runs.remove(key);
         let here = w.gateways.iter().any(|c| c.0 == run.conn);
         if here && now < w.silent {
-            // For its gateway it is out until the connection is gone.
+            // To the gateway the attempt is in flight until the connection is gone.
             w.swallowed.push((run.conn, run.evt));
         }
         if !here || now < w.silent {
@@ -791,7 +795,8 @@
         g.net.write(conn, &g.out);
     }
 
-    /// Begins one load, making room by idle copies of others. False where there is no room.
+    /// Starts one load, unloading idle instances of other functions for it, least recently used first.
+    /// Returns false if there is no memory for it, or too many loads are in progress.
     fn load<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, program: usize) -> bool {
         let w = &mut self.list[wk];
         if w.loads.len() >= w.most_loads {
@@ -863,7 +868,7 @@
         keys.into_iter().for_each(|key| self.failed(g, wk, key));
     }
 
-    /// The depot's answer to a fetch.
+    /// Handles the artifact store's response to a fetch.
     pub fn fetched<N: Net>(
         &mut self,
         g: &mut Ground<N>,
@@ -895,7 +900,8 @@
         Ok(())
     }
 
-    /// A load did not come to be: those that waited for it have missed, and were never run.
+    /// A load failed. If no other instance is loaded or loading, the attempts that waited end as misses,
+    /// never run.
     fn failed<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, key: usize) {
         let w = &mut self.list[wk];
         let program = w.loads.remove(key);
@@ -917,7 +923,7 @@
             .for_each(|run| self.end(g, wk, run, "miss", 4));
     }
 
-    /// A load is through: the copy stands.
+    /// A load is complete: the instance can run attempts.
     pub fn loaded<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, rest: usize) {
         let (key, life) = (rest & 0xffff, (rest >> 16) as u64);
         let now = g.net.now();
@@ -947,7 +953,7 @@
         g.net.set_timer(now + IDLE, of::IDLE);
         for w in &mut self.list {
             for c in w.copies.values_mut() {
-                // A little longer than the least that is told.
+                // Longer by one interval than `stays_loaded_ms`, the minimum that the settings state.
                 if c.running == 0 && c.waiting.is_empty() && now > c.idle_since + self.stays + IDLE
                 {
                     c.standing = 0;
@@ -960,7 +966,7 @@
             .for_each(|m| m.retain(|_, first| now < *first + longest));
     }
 
-    /// A gateway's end of a connection is gone: what runs goes on, and answers nobody.
+    /// A gateway's connection is gone: its running attempts continue, but send no response.
     pub fn gateway_gone<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, conn: Conn) {
         let w = &mut self.list[wk];
         w.gateways.retain(|c| c.0 != conn);
@@ -983,7 +989,8 @@
         });
     }
 
-    /// As a kill leaves it: no socket, no copy, no word.
+    /// Closes all sockets without notice and discards instances, attempts and loads, as a killed process
+    /// does.
     pub fn kill<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
         let conns: Vec<(Conn, usize)> = self.list[wk].gateways.iter().map(|c| (c.0, c.1)).collect();
         for (conn, gw) in conns {
@@ -1011,7 +1018,7 @@
             if let Some(d) = run.deadline {
                 g.net.cancel_timer(d);
             }
-            // What was running had no effect yet: its mark is worth nothing.
+            // An attempt that was still running had no effect, so its idempotency key is forgotten.
             if run.mark > 0 && run.running {
                 let hall = if self.alls[g.programs[run.program].typ] {
                     0
@@ -1028,7 +1035,7 @@
         (w.up, w.busy, w.waiting, w.depot_up) = (false, 0, 0, false);
     }
 
-    /// A new start, empty and cold. False where its address is taken.
+    /// Starts the worker again, cold and without instances. Returns false if its address is taken.
     pub fn start<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) -> bool {
         let at = self.list[wk].at;
         let Ok((listener, _)) = g.net.listen(at) else {
@@ -1067,7 +1074,7 @@
             .for_each(|c| g.net.set_read_paused(c.0, false));
     }
 
-    /// Breaks its connections in the middle of a frame.
+    /// Closes the gateways' connections in the middle of a frame.
     pub fn torn<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
         self.list[wk].members.clear();
         for (conn, _) in std::mem::take(&mut self.list[wk].gateways) {
@@ -1088,7 +1095,7 @@
                     ..Row::default()
                 })
             });
-            // The head of a frame of a hundred bytes, and two of them.
+            // The header of a frame of 100 bytes, and only two of them.
             g.net.write(conn, &[0, 0, 0, 100, 0xb8, 2]);
             g.own(conn, Owner::Nobody);
             g.net.close(conn);
@@ -1098,7 +1105,7 @@
     pub fn drain<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
         let w = &mut self.list[wk];
         w.draining = true;
-        // Those that it is connected to hear it from itself; the roster tells the others.
+        // Connected gateways are told by the worker itself, others by the discovery server.
         for (conn, gw) in w.gateways.clone() {
             if gw != usize::MAX {
                 g.out.clear();
@@ -1123,7 +1130,7 @@
     }
 }
 
-/// The mark of an event: all its tries have the same.
+/// The idempotency key of a request: all client attempts of one request have the same.
 pub fn mark(evt: u64) -> u64 {
     evt / TRIES + 1
 }
