--- a/crates/tidewall-emulator/src/clients.rs
+++ b/crates/tidewall-emulator/src/clients.rs
@@ -2,8 +2,8 @@
 //! responses, client timeouts, retries where those are harmless, and a balancer that keeps sending to a
 //! failed gateway for a while.
 use crate::terminal::{Heard, Terminal};
-use crate::workers::mark;
-use crate::{of, Ground, Owner};
+use crate::workers::idempotency_key;
+use crate::{timer_kind, Context, Owner};
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -58,174 +58,178 @@
             counts
                 .iter()
                 .zip(&self.benefit)
-                .map(|(n, b)| *n as f64 * b)
+                .map(|(count, benefit)| *count as f64 * benefit)
                 .sum()
         };
         sum(&self.good) / sum(&self.asked).max(1e-9)
     }
 }
 
-struct Typ {
+struct RequestType {
     name: String,
-    target: Time,
-    age: Time,
+    target_time: Time,
+    max_age: Time,
     benefit: f64,
     redelivery: String,
-    all: bool,
+    all_workers: bool,
 }
 
-struct Event {
+struct Request {
     number: u64,
-    program: usize,
+    function: usize,
     work: f64,
     due: Time,
-    tries: u64,
+    attempts: u64,
     tenant: usize,
     /// Gateway and connection of the current attempt.
-    at: Option<(usize, usize)>,
-    sent: bool,
-    deadline: Option<TimerId>,
+    sent_to: Option<(usize, usize)>,
+    /// Whether the current attempt is sent and unanswered on an open connection.
+    in_flight: bool,
+    timeout_timer: Option<TimerId>,
     /// When the client of the current attempt gives up.
-    ends: Time,
-    leaves: Option<TimerId>,
+    deadline: Time,
+    abandon_timer: Option<TimerId>,
     /// Gateway that the next attempt goes to, with its count of broken connections: if that has changed, the
     /// process may be another one.
-    stick: Option<(usize, u64)>,
-    stuck: bool,
+    sticky: Option<(usize, u64)>,
+    /// Whether its AMQP client stopped waiting for an earlier attempt by its own doing.
+    given_up: bool,
     /// A duplicate of another request, published by a second client: it is not retried, and left out of the
     /// results.
-    twin: bool,
+    duplicate: bool,
     /// Whether the current attempt was sent. To a failover pair it is sent again on the next open connection.
-    asked: bool,
+    was_sent: bool,
 }
 
 /// What one AMQP client received, collected until all bytes are decoded.
 #[derive(Default)]
-struct Told {
+struct Received {
     ready: bool,
     answers: Vec<(u64, String, u64)>,
     confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Told {
+impl Heard for Received {
     fn ready(&mut self) {
         self.ready = true;
     }
-    fn answer(&mut self, evt: u64, word: &str, come_back: u64) {
-        self.answers.push((evt, word.to_string(), come_back));
+    fn answer(&mut self, request_id: u64, word: &str, come_back: u64) {
+        self.answers.push((request_id, word.to_string(), come_back));
     }
-    fn confirmed(&mut self, evt: u64, good: bool) {
-        self.confirms.push((evt, good));
+    fn confirmed(&mut self, request_id: u64, good: bool) {
+        self.confirms.push((request_id, good));
     }
 }
 
 struct Gateway {
     name: String,
-    terminals: Vec<Terminal>,
-    at: SocketAddr,
-    conns: Vec<(Option<Conn>, bool)>,
-    turn: usize,
+    amqp_clients: Vec<Terminal>,
+    address: SocketAddr,
+    connections: Vec<(Option<Conn>, bool)>,
+    round_robin: usize,
     /// Since when no connection is open.
-    down: Option<Time>,
+    down_since: Option<Time>,
     /// Connections that the clients did not break: the gateway may have been restarted since.
-    broken: u64,
+    broken_connections: u64,
     /// Connections that the clients broke themselves.
-    cut: Vec<bool>,
+    cut_by_client: Vec<bool>,
 }
 
 /// An extra AMQP connection that logs in and sends no requests.
-struct Guest {
+struct ExtraLogin {
     conn: Conn,
-    terminal: Terminal,
+    amqp_client: Terminal,
 }
 
 pub struct Clients {
-    types: Vec<Typ>,
+    types: Vec<RequestType>,
     tenants: Vec<String>,
     gateways: Vec<Gateway>,
     rate: f64,
     retries: u64,
-    wait: Time,
-    patience: f64,
-    front: Time,
-    payload: usize,
+    retry_delay: Time,
+    /// Share of a request's maximum age after which its client gives up.
+    timeout_share: f64,
+    /// How long the balancer still sends to a gateway without open connections.
+    balancer_lag: Time,
+    payload_size: usize,
     /// Used for arrivals only, so that they do not depend on what happens to requests.
     arrivals: ChaCha8Rng,
-    events: Slab<Event>,
-    count: u64,
+    requests: Slab<Request>,
+    arrival_count: u64,
     /// Remaining rounds for which arrivals may wait until all gateways are connected.
-    rounds: u32,
+    startup_rounds: u32,
     /// When the next arrival is due, in fractional tenths of a millisecond: computed from the previous due
     /// time, so that a late wake-up does not lower the rate.
-    due: f64,
+    next_due: f64,
     /// Whether the clients publish over AMQP.
     pub amqp: bool,
     /// Whether the response was `handled`, by request id, until the confirm arrives.
-    words: BTreeMap<u64, bool>,
-    pub until: Time,
+    handled_responses: BTreeMap<u64, bool>,
+    pub send_until: Time,
     /// Whether the gateway is a failover pair behind one address: unanswered requests are sent again, and a
     /// gateway with an older epoch is refused.
     pair: bool,
     epoch: u64,
     /// Times from the end of the last open connection to the next connection.
-    pub pauses: Vec<Time>,
-    pub burst: f64,
-    pub heavy: f64,
+    pub outages: Vec<Time>,
+    pub rate_factor: f64,
+    pub work_factor: f64,
     /// Whether AMQP clients publish each request twice.
-    pub twice: bool,
+    pub publish_twice: bool,
     /// Factor by which the clients' clocks are wrong.
-    pub skew: f64,
-    guests: Slab<Guest>,
+    pub clock_factor: f64,
+    extra_logins: Slab<ExtraLogin>,
     /// One in this many clients abandons its request early.
-    pub impatient: u32,
+    pub abandon_ratio: u32,
     pub results: Results,
 }
 
 /// Delay before a reconnect.
-const AGAIN: Time = 1_000;
+const RECONNECT_DELAY: Time = 1_000;
 
 /// Delay before a reconnect to a failover pair: short, so that a takeover costs clients little more than it
 /// takes.
-const SOON: Time = 50;
+const PAIR_RECONNECT_DELAY: Time = 50;
 
 /// One in this many clients abandons its request early, after a third of its timeout.
-const IMPATIENT: u32 = 100;
+const ABANDON_RATIO: u32 = 100;
 
 impl Clients {
     pub fn new<N: Net>(
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         settings: &Section,
         fleet: &Section,
         seed: u64,
         amqp: bool,
     ) -> Clients {
         let c = fleet.section("clients");
-        let types: Vec<Typ> = settings
+        let types: Vec<RequestType> = settings
             .sections("event_type")
             .iter()
-            .map(|t| Typ {
+            .map(|t| RequestType {
                 name: t.text("name"),
-                target: t.duration("target_time_ms"),
-                age: t.duration("max_age_ms"),
+                target_time: t.duration("target_time_ms"),
+                max_age: t.duration("max_age_ms"),
                 benefit: t.number("benefit"),
                 redelivery: t.enum_value("redelivery"),
-                all: t.enum_value("group") == "ALL",
+                all_workers: t.enum_value("group") == "ALL",
             })
             .collect();
-        let gateway = |s: &Section| Gateway {
+        let gateway_of = |s: &Section| Gateway {
             name: s.text("name"),
-            terminals: (0..c.integer("connections"))
+            amqp_clients: (0..c.integer("connections"))
                 .map(|_| Terminal::default())
                 .collect(),
-            at: s
+            address: s
                 .text(if amqp { "amqp_address" } else { "address" })
                 .parse()
                 .expect("checked"),
-            conns: vec![(None, false); c.integer("connections") as usize],
-            turn: 0,
-            down: Some(g.net.now()),
-            broken: 0,
-            cut: vec![false; c.integer("connections") as usize],
+            connections: vec![(None, false); c.integer("connections") as usize],
+            round_robin: 0,
+            down_since: Some(context.net.now()),
+            broken_connections: 0,
+            cut_by_client: vec![false; c.integer("connections") as usize],
         };
         let zeros = vec![0; types.len()];
         Clients {
@@ -234,30 +238,34 @@
                 .iter()
                 .map(|t| t.text("name"))
                 .collect(),
-            gateways: settings.sections("gateway").iter().map(gateway).collect(),
+            gateways: settings
+                .sections("gateway")
+                .iter()
+                .map(gateway_of)
+                .collect(),
             rate: c.number("rate"),
             retries: c.integer("retries"),
-            wait: c.duration("wait_ms"),
-            patience: c.number("patience"),
-            front: c.duration("front_ms"),
-            payload: c.integer("payload") as usize,
+            retry_delay: c.duration("wait_ms"),
+            timeout_share: c.number("patience"),
+            balancer_lag: c.duration("front_ms"),
+            payload_size: c.integer("payload") as usize,
             arrivals: ChaCha8Rng::seed_from_u64(seed ^ 0x5eed_0a11),
-            events: Slab::new(),
-            count: 0,
-            rounds: 100,
-            due: 0.0,
+            requests: Slab::new(),
+            arrival_count: 0,
+            startup_rounds: 100,
+            next_due: 0.0,
             amqp,
-            words: BTreeMap::new(),
-            until: Time::MAX,
+            handled_responses: BTreeMap::new(),
+            send_until: Time::MAX,
             pair: settings.has("pair"),
             epoch: 0,
-            pauses: Vec::new(),
-            burst: 1.0,
-            heavy: 1.0,
-            twice: false,
-            skew: 1.0,
-            guests: Slab::new(),
-            impatient: IMPATIENT,
+            outages: Vec::new(),
+            rate_factor: 1.0,
+            work_factor: 1.0,
+            publish_twice: false,
+            clock_factor: 1.0,
+            extra_logins: Slab::new(),
+            abandon_ratio: ABANDON_RATIO,
             results: Results {
                 events: 0,
                 tries: 0,
@@ -291,131 +299,175 @@
         self.gateways.len()
     }
 
-    pub fn start<N: Net>(&mut self, g: &mut Ground<N>) {
-        for gw in 0..self.gateways.len() {
-            (0..self.gateways[gw].conns.len()).for_each(|n| self.connect(g, gw, n));
+    pub fn start<N: Net>(&mut self, context: &mut Context<N>) {
+        for gateway in 0..self.gateways.len() {
+            (0..self.gateways[gateway].connections.len())
+                .for_each(|connection| self.connect(context, gateway, connection));
         }
         // The arrivals start after the connections had time to open.
-        let now = g.net.now();
-        g.net.set_timer(now + 2 * AGAIN, of::NEXT);
+        let now = context.net.now();
+        context
+            .net
+            .set_timer(now + 2 * RECONNECT_DELAY, timer_kind::ARRIVAL);
     }
 
-    pub fn connect<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let conn = g.net.connect(
-            self.gateways[gw].at,
-            if self.pair { AGAIN / 2 } else { AGAIN },
+    pub fn connect<N: Net>(&mut self, context: &mut Context<N>, gateway: usize, connection: usize) {
+        let conn = context.net.connect(
+            self.gateways[gateway].address,
+            if self.pair {
+                RECONNECT_DELAY / 2
+            } else {
+                RECONNECT_DELAY
+            },
+        );
+        context.set_owner(
+            conn,
+            Owner::Client {
+                gw: gateway,
+                n: connection,
+            },
         );
-        g.own(conn, Owner::Client { gw, n });
-        self.gateways[gw].conns[n] = (Some(conn), false);
+        self.gateways[gateway].connections[connection] = (Some(conn), false);
     }
 
-    pub fn connected<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        g.out.clear();
+    pub fn connected<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        context.buffer.clear();
         if self.amqp {
-            self.gateways[gw].terminals[n].connected(&mut g.out);
-            if let Some(conn) = self.gateways[gw].conns[n].0 {
-                g.net.write(conn, &g.out);
+            self.gateways[gateway].amqp_clients[connection].connected(&mut context.buffer);
+            if let Some(conn) = self.gateways[gateway].connections[connection].0 {
+                context.net.write(conn, &context.buffer);
             }
             return;
         }
         wire::hello(
-            &mut g.out,
+            &mut context.buffer,
             "client",
-            &format!("{}-{n}", self.gateways[gw].name),
+            &format!("{}-{connection}", self.gateways[gateway].name),
             1,
         );
-        if let Some(conn) = self.gateways[gw].conns[n].0 {
-            g.net.write(conn, &g.out);
+        if let Some(conn) = self.gateways[gateway].connections[connection].0 {
+            context.net.write(conn, &context.buffer);
         }
     }
 
-    pub fn closed<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let now = g.net.now();
-        let gateway = &mut self.gateways[gw];
-        gateway.conns[n] = (None, false);
-        let cut = std::mem::take(&mut gateway.cut[n]);
-        gateway.broken += u64::from(!cut);
-        if gateway.down.is_none() && gateway.conns.iter().all(|c| !c.1) {
-            gateway.down = Some(now);
+    pub fn closed<N: Net>(&mut self, context: &mut Context<N>, gateway: usize, connection: usize) {
+        let now = context.net.now();
+        let target = &mut self.gateways[gateway];
+        target.connections[connection] = (None, false);
+        let cut = std::mem::take(&mut target.cut_by_client[connection]);
+        target.broken_connections += u64::from(!cut);
+        if target.down_since.is_none() && target.connections.iter().all(|c| !c.1) {
+            target.down_since = Some(now);
             if self.pair {
-                g.row(Row {
+                context.record_row(Row {
                     k: Kind::Away,
-                    gw,
+                    gw: gateway,
                     ..Row::default()
                 });
             }
         }
-        let again = if self.pair { SOON } else { AGAIN };
-        g.net
-            .set_timer(now + again, of::CONNECT | (gw as u64) << 32 | n as u64);
+        let delay = if self.pair {
+            PAIR_RECONNECT_DELAY
+        } else {
+            RECONNECT_DELAY
+        };
+        context.net.set_timer(
+            now + delay,
+            timer_kind::CONNECT | (gateway as u64) << 32 | connection as u64,
+        );
         if cut {
-            return self.let_go(g, gw, n);
+            return self.stop_waiting(context, gateway, connection);
         }
         if self.pair {
-            self.events
+            self.requests
                 .iter_mut()
-                .filter(|e| e.1.at == Some((gw, n)))
-                .for_each(|e| e.1.sent = false);
+                .filter(|request| request.1.sent_to == Some((gateway, connection)))
+                .for_each(|request| request.1.in_flight = false);
             return;
         }
-        let out: Vec<usize> = self
-            .events
+        let unanswered: Vec<usize> = self
+            .requests
             .iter()
-            .filter(|e| e.1.at == Some((gw, n)) && e.1.sent)
-            .map(|e| e.0)
+            .filter(|request| {
+                request.1.sent_to == Some((gateway, connection)) && request.1.in_flight
+            })
+            .map(|request| request.0)
             .collect();
-        for key in out {
-            let evt = self.id(key);
-            g.row(Row {
+        for key in unanswered {
+            let request_id = self.request_id(key);
+            context.record_row(Row {
                 k: Kind::Broke,
-                evt,
-                gw,
+                evt: request_id,
+                gw: gateway,
                 ..Row::default()
             });
             self.results.broken += 1;
             // The request may have been executed, so it is retried only where a repeat is harmless.
-            let harmless = self.harmless(g.programs[self.events[key].program].typ);
-            self.over(g, key, harmless, 0);
+            let harmless = self
+                .repeat_is_harmless(context.functions[self.requests[key].function].request_type);
+            self.end_attempt(context, key, harmless, 0);
         }
     }
 
     /// An AMQP client no longer waits on this connection, by its own doing: records its unanswered requests
     /// as given up, and retries them with the same message-id.
-    fn let_go<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let out: Vec<usize> = self
-            .events
+    fn stop_waiting<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        let unanswered: Vec<usize> = self
+            .requests
             .iter()
-            .filter(|e| e.1.at == Some((gw, n)) && e.1.sent)
-            .map(|e| e.0)
+            .filter(|request| {
+                request.1.sent_to == Some((gateway, connection)) && request.1.in_flight
+            })
+            .map(|request| request.0)
             .collect();
-        for key in out {
-            let evt = self.id(key);
-            g.row(Row {
+        for key in unanswered {
+            let request_id = self.request_id(key);
+            context.record_row(Row {
                 k: Kind::Left,
-                evt,
-                gw,
+                evt: request_id,
+                gw: gateway,
                 ..Row::default()
             });
             self.results.let_go += 1;
-            (self.events[key].stick, self.events[key].stuck) =
-                (Some((gw, self.gateways[gw].broken)), true);
-            self.over(g, key, true, 0);
+            (self.requests[key].sticky, self.requests[key].given_up) = (
+                Some((gateway, self.gateways[gateway].broken_connections)),
+                true,
+            );
+            self.end_attempt(context, key, true, 0);
         }
     }
 
     /// Breaks an AMQP client's connection at a random byte of a publish.
-    pub fn cut<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let Some(conn) = self.gateways[gw].conns[n]
+    pub fn cut_connection<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        let Some(conn) = self.gateways[gateway].connections[connection]
             .0
-            .filter(|_| self.gateways[gw].conns[n].1)
+            .filter(|_| self.gateways[gateway].connections[connection].1)
         else {
             return;
         };
-        g.out.clear();
-        let program = &g.programs[0];
-        let key = format!("{}.{}", self.types[program.typ].name, program.name);
-        self.gateways[gw].terminals[n].publish(
-            &mut g.out,
+        context.buffer.clear();
+        let function = &context.functions[0];
+        let key = format!(
+            "{}.{}",
+            self.types[function.request_type].name, function.name
+        );
+        self.gateways[gateway].amqp_clients[connection].publish(
+            &mut context.buffer,
             u64::MAX,
             &key,
             1,
@@ -423,184 +475,232 @@
             false,
             &[0; 64],
         );
-        let part = g.chance.random_range(0..g.out.len());
-        g.net.write(conn, &g.out[..part]);
-        self.gateways[gw].cut[n] = true;
-        g.net.abort(conn);
+        let part = context.rng.random_range(0..context.buffer.len());
+        context.net.write(conn, &context.buffer[..part]);
+        self.gateways[gateway].cut_by_client[connection] = true;
+        context.net.abort(conn);
     }
 
     /// Closes an AMQP client's channel with requests in flight on it.
-    pub fn close_channel<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let Some(conn) = self.gateways[gw].conns[n]
+    pub fn close_channel<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        let Some(conn) = self.gateways[gateway].connections[connection]
             .0
-            .filter(|_| self.gateways[gw].conns[n].1)
+            .filter(|_| self.gateways[gateway].connections[connection].1)
         else {
             return;
         };
-        g.out.clear();
-        self.gateways[gw].terminals[n].close_channel(&mut g.out);
-        g.net.write(conn, &g.out);
-        self.gateways[gw].conns[n].1 = false;
-        self.let_go(g, gw, n);
+        context.buffer.clear();
+        self.gateways[gateway].amqp_clients[connection].close_channel(&mut context.buffer);
+        context.net.write(conn, &context.buffer);
+        self.gateways[gateway].connections[connection].1 = false;
+        self.stop_waiting(context, gateway, connection);
     }
 
     /// Makes an AMQP client stop reading.
-    pub fn slow<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let Some(conn) = self.gateways[gw].conns[n]
+    pub fn stop_reading<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        let Some(conn) = self.gateways[gateway].connections[connection]
             .0
-            .filter(|_| self.gateways[gw].conns[n].1)
+            .filter(|_| self.gateways[gateway].connections[connection].1)
         else {
             return;
         };
-        g.net.set_read_paused(conn, true);
-        self.gateways[gw].conns[n].1 = false;
-        self.let_go(g, gw, n);
+        context.net.set_read_paused(conn, true);
+        self.gateways[gateway].connections[connection].1 = false;
+        self.stop_waiting(context, gateway, connection);
     }
 
     /// Breaks the connection of an AMQP client that stopped reading.
-    pub fn slow_over<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        if let Some(conn) = self.gateways[gw].conns[n].0 {
-            self.gateways[gw].cut[n] = true;
-            g.net.abort(conn);
+    pub fn break_stopped<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        if let Some(conn) = self.gateways[gateway].connections[connection].0 {
+            self.gateways[gateway].cut_by_client[connection] = true;
+            context.net.abort(conn);
         }
     }
 
     /// Open connections, as (gateway, connection).
-    pub fn lines(&self) -> Vec<(usize, usize)> {
-        let each = |gw: usize| (0..self.gateways[gw].conns.len()).map(move |n| (gw, n));
+    pub fn open_connections(&self) -> Vec<(usize, usize)> {
+        let each = |gateway: usize| {
+            (0..self.gateways[gateway].connections.len())
+                .map(move |connection| (gateway, connection))
+        };
         (0..self.gateways.len())
             .flat_map(each)
-            .filter(|(gw, n)| self.gateways[*gw].conns[*n].1)
+            .filter(|(gateway, connection)| self.gateways[*gateway].connections[*connection].1)
             .collect()
     }
 
     /// Logs in `count` extra AMQP clients at once, each with a queue of `hoard` messages that it never acks
     /// (0 for none).
-    pub fn guests<N: Net>(&mut self, g: &mut Ground<N>, count: usize, hoard: u64) {
+    pub fn open_extra_logins<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        count: usize,
+        hoard: u64,
+    ) {
         for i in 0..count {
-            let conn = g
-                .net
-                .connect(self.gateways[i % self.gateways.len()].at, 100 * AGAIN);
-            let key = self.guests.insert(Guest {
+            let conn = context.net.connect(
+                self.gateways[i % self.gateways.len()].address,
+                100 * RECONNECT_DELAY,
+            );
+            let key = self.extra_logins.insert(ExtraLogin {
                 conn,
-                terminal: Terminal::hoarder(hoard),
+                amqp_client: Terminal::hoarder(hoard),
             });
-            g.own(conn, Owner::Guest(key));
+            context.set_owner(conn, Owner::ExtraLogin(key));
         }
     }
 
-    pub fn guests_go<N: Net>(&mut self, g: &mut Ground<N>) {
-        for guest in std::mem::take(&mut self.guests) {
-            g.own(guest.1.conn, Owner::Nobody);
-            g.net.reset(guest.1.conn);
+    pub fn close_extra_logins<N: Net>(&mut self, context: &mut Context<N>) {
+        for login in std::mem::take(&mut self.extra_logins) {
+            context.set_owner(login.1.conn, Owner::Detached);
+            context.net.reset(login.1.conn);
         }
     }
 
-    pub fn guest_there<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
-        g.out.clear();
-        self.guests[key].terminal.connected(&mut g.out);
-        g.net.write(self.guests[key].conn, &g.out);
+    pub fn extra_login_connected<N: Net>(&mut self, context: &mut Context<N>, key: usize) {
+        context.buffer.clear();
+        self.extra_logins[key]
+            .amqp_client
+            .connected(&mut context.buffer);
+        context
+            .net
+            .write(self.extra_logins[key].conn, &context.buffer);
     }
 
-    pub fn guest_gone(&mut self, key: usize) {
+    pub fn extra_login_closed(&mut self, key: usize) {
         self.results.guests_refused += 1;
-        self.guests.remove(key);
+        self.extra_logins.remove(key);
     }
 
-    pub fn guest<N: Net>(
+    pub fn extra_login_received<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         key: usize,
         bytes: &[u8],
     ) -> Result<usize, String> {
-        let (mut told, mut out, mut used) = (Told::default(), Vec::new(), 0);
+        let (mut received, mut out, mut used) = (Received::default(), Vec::new(), 0);
         loop {
-            let one = self.guests[key]
-                .terminal
-                .frame(&bytes[used..], &mut out, &mut told)?;
-            if one == 0 {
+            let length = self.extra_logins[key].amqp_client.frame(
+                &bytes[used..],
+                &mut out,
+                &mut received,
+            )?;
+            if length == 0 {
                 break;
             }
-            used += one;
+            used += length;
         }
-        self.results.guests += u64::from(told.ready);
+        self.results.guests += u64::from(received.ready);
         if !out.is_empty() {
-            g.net.write(self.guests[key].conn, &out);
+            context.net.write(self.extra_logins[key].conn, &out);
         }
         Ok(used)
     }
 
-    fn id(&self, key: usize) -> u64 {
-        let e = &self.events[key];
-        e.number * TRIES + e.tries - 1
+    fn request_id(&self, key: usize) -> u64 {
+        let request = &self.requests[key];
+        request.number * TRIES + request.attempts - 1
     }
 
     /// The connection can take requests.
-    fn ready<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        self.gateways[gw].conns[n].1 = true;
-        let since = self.gateways[gw].down.take();
+    fn connection_ready<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        self.gateways[gateway].connections[connection].1 = true;
+        let since = self.gateways[gateway].down_since.take();
         if let Some(since) = since.filter(|_| self.pair) {
-            self.pauses.push(g.net.now() - since);
-            g.row(Row {
+            self.outages.push(context.net.now() - since);
+            context.record_row(Row {
                 k: Kind::Back,
-                gw,
+                gw: gateway,
                 ..Row::default()
             });
         }
         if self.pair {
-            self.ask_again(g, gw, n);
+            self.resend_unanswered(context, gateway, connection);
         }
     }
 
     /// Sends unanswered requests again, with the same id and idempotency key.
-    fn ask_again<N: Net>(&mut self, g: &mut Ground<N>, gw: usize, n: usize) {
-        let now = g.net.now();
-        let out: Vec<usize> = self
-            .events
+    fn resend_unanswered<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
+    ) {
+        let now = context.net.now();
+        let unanswered: Vec<usize> = self
+            .requests
             .iter()
-            .filter(|e| !e.1.sent && e.1.deadline.is_some())
-            .map(|e| e.0)
+            .filter(|request| !request.1.in_flight && request.1.timeout_timer.is_some())
+            .map(|request| request.0)
             .collect();
-        for key in out {
-            let left = self.events[key].ends.saturating_sub(now);
+        for key in unanswered {
+            let left = self.requests[key].deadline.saturating_sub(now);
             if left > 0 {
-                self.ask(g, key, (gw, n), left);
+                self.send(context, key, (gateway, connection), left);
             }
         }
     }
 
     /// Handles the arrivals that are due, and sets the timer for the next one.
-    pub fn next<N: Net>(&mut self, g: &mut Ground<N>) {
-        let now = g.net.now();
-        if now >= self.until {
+    pub fn arrivals<N: Net>(&mut self, context: &mut Context<N>) {
+        let now = context.net.now();
+        if now >= self.send_until {
             return;
         }
-        if self.rounds > 0 {
-            self.rounds -= 1;
-            if self.gateways.iter().all(|gw| gw.conns.iter().any(|c| c.1)) {
-                self.rounds = 0;
+        if self.startup_rounds > 0 {
+            self.startup_rounds -= 1;
+            if self
+                .gateways
+                .iter()
+                .all(|gateway| gateway.connections.iter().any(|c| c.1))
+            {
+                self.startup_rounds = 0;
             }
-            g.net.set_timer(now + AGAIN, of::NEXT);
+            context
+                .net
+                .set_timer(now + RECONNECT_DELAY, timer_kind::ARRIVAL);
             return;
         }
-        if self.due == 0.0 {
-            self.due = now as f64;
+        if self.next_due == 0.0 {
+            self.next_due = now as f64;
         }
-        while self.due <= now as f64 {
-            self.arrival(g, self.due as Time);
+        while self.next_due <= now as f64 {
+            self.arrival(context, self.next_due as Time);
             let gap: f64 = Exp1.sample(&mut self.arrivals);
-            self.due += gap / (self.rate * self.burst) * 10_000.0;
+            self.next_due += gap / (self.rate * self.rate_factor) * 10_000.0;
         }
-        g.net
-            .set_timer((self.due.ceil() as Time).max(now + 1), of::NEXT);
+        context.net.set_timer(
+            (self.next_due.ceil() as Time).max(now + 1),
+            timer_kind::ARRIVAL,
+        );
     }
 
-    fn arrival<N: Net>(&mut self, g: &mut Ground<N>, due: Time) {
+    fn arrival<N: Net>(&mut self, context: &mut Context<N>, due: Time) {
         let draw: f64 = self.arrivals.random();
-        let program = g
-            .programs
-            .partition_point(|p| p.upto < draw)
-            .min(g.programs.len() - 1);
+        let function = context
+            .functions
+            .partition_point(|p| p.cumulative_share < draw)
+            .min(context.functions.len() - 1);
         // Work varies by about a third around its mean, as in functions whose input varies.
         let spread: f64 = LogNormal::new(-0.05, 0.32)
             .expect("good")
@@ -610,264 +710,316 @@
         } else {
             self.arrivals.random_range(0..self.tenants.len())
         };
-        self.count += 1;
-        let event = Event {
-            number: self.count,
-            program,
-            work: g.programs[program].work * spread * self.heavy,
+        self.arrival_count += 1;
+        let request = Request {
+            number: self.arrival_count,
+            function,
+            work: context.functions[function].work * spread * self.work_factor,
             due,
-            tries: 0,
+            attempts: 0,
             tenant,
-            at: None,
-            sent: false,
-            deadline: None,
-            ends: 0,
-            leaves: None,
-            stick: None,
-            stuck: false,
-            twin: false,
-            asked: false,
+            sent_to: None,
+            in_flight: false,
+            timeout_timer: None,
+            deadline: 0,
+            abandon_timer: None,
+            sticky: None,
+            given_up: false,
+            duplicate: false,
+            was_sent: false,
         };
-        let key = self.events.insert(event);
+        let key = self.requests.insert(request);
         self.results.events += 1;
-        self.results.asked[g.programs[program].typ] += 1;
-        self.again(g, key);
+        self.results.asked[context.functions[function].request_type] += 1;
+        self.start_attempt(context, key);
     }
 
     /// Starts one attempt of a client at a request.
-    pub fn again<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
-        let now = g.net.now();
-        let typ = g.programs[self.events[key].program].typ;
-        let ends = self.events[key].due + self.types[typ].age;
-        let left =
-            ((self.types[typ].age as f64 * self.patience) as Time).min(ends.saturating_sub(now));
+    pub fn start_attempt<N: Net>(&mut self, context: &mut Context<N>, key: usize) {
+        let now = context.net.now();
+        let request_type = context.functions[self.requests[key].function].request_type;
+        let deadline = self.requests[key].due + self.types[request_type].max_age;
+        let left = ((self.types[request_type].max_age as f64 * self.timeout_share) as Time)
+            .min(deadline.saturating_sub(now));
         // A client with a wrong clock uses and sends another timeout.
-        let left = ((left as f64 * self.skew) as Time).min(self.types[typ].age);
+        let left =
+            ((left as f64 * self.clock_factor) as Time).min(self.types[request_type].max_age);
         // A request that its AMQP client gave up may be sent again to the same process, which knows it, or
         // where a repeat is harmless.
-        let stick = self.events[key]
-            .stick
+        let sticky = self.requests[key]
+            .sticky
             .take()
-            .filter(|s| self.gateways[s.0].broken == s.1);
-        let unknown = self.events[key].stuck && stick.is_none() && !self.harmless(typ);
+            .filter(|s| self.gateways[s.0].broken_connections == s.1);
+        let unknown = self.requests[key].given_up
+            && sticky.is_none()
+            && !self.repeat_is_harmless(request_type);
         if left < 10 || unknown {
-            self.events.remove(key);
+            self.requests.remove(key);
             return;
         }
-        self.events[key].tries += 1;
+        self.requests[key].attempts += 1;
         self.results.tries += 1;
-        // The balancer draws uniformly, and skips a gateway only after it has been down for `front`.
-        let open = |gw: &Gateway, front: Time| gw.down.is_none_or(|since| now < since + front);
-        let fit: Vec<usize> = (0..self.gateways.len())
-            .filter(|gw| open(&self.gateways[*gw], self.front))
+        // The balancer draws uniformly, and skips a gateway only after it has been down for `balancer_lag`.
+        let is_open =
+            |gateway: &Gateway, lag: Time| gateway.down_since.is_none_or(|since| now < since + lag);
+        let candidates: Vec<usize> = (0..self.gateways.len())
+            .filter(|gateway| is_open(&self.gateways[*gateway], self.balancer_lag))
             .collect();
-        let gw = if fit.is_empty() {
+        let gateway = if candidates.is_empty() {
             0
         } else {
-            fit[g.chance.random_range(0..fit.len())]
+            candidates[context.rng.random_range(0..candidates.len())]
         };
-        let gw = stick.map_or(gw, |s| s.0);
-        let gateway = &mut self.gateways[gw];
-        gateway.turn += 1;
-        let ready: Vec<usize> = (0..gateway.conns.len())
-            .filter(|n| gateway.conns[*n].1)
+        let gateway = sticky.map_or(gateway, |s| s.0);
+        let target = &mut self.gateways[gateway];
+        target.round_robin += 1;
+        let ready: Vec<usize> = (0..target.connections.len())
+            .filter(|connection| target.connections[*connection].1)
             .collect();
         if ready.is_empty() && self.pair {
             // The attempt waits for a connection until its client gives up.
-            let e = &mut self.events[key];
-            (e.ends, e.asked, e.sent, e.at) = (now + left, false, false, Some((gw, usize::MAX)));
-            let late = g
-                .net
-                .set_timer(now + left + tidewall_audit::GRACE, of::LATE | key as u64);
-            self.events[key].deadline = Some(late);
+            let request = &mut self.requests[key];
+            (
+                request.deadline,
+                request.was_sent,
+                request.in_flight,
+                request.sent_to,
+            ) = (now + left, false, false, Some((gateway, usize::MAX)));
+            let timer = context.net.set_timer(
+                now + left + tidewall_audit::GRACE,
+                timer_kind::TIMED_OUT | key as u64,
+            );
+            self.requests[key].timeout_timer = Some(timer);
             return;
         }
         if ready.is_empty() {
             self.results.unreachable += 1;
-            self.events[key].stick = stick;
-            return self.over(g, key, true, 0);
+            self.requests[key].sticky = sticky;
+            return self.end_attempt(context, key, true, 0);
         }
-        let n = ready[gateway.turn % ready.len()];
-        let other = ready[(gateway.turn + 1) % ready.len()];
-        let ends = now + left;
-        (self.events[key].ends, self.events[key].asked) = (ends, false);
-        self.events[key].deadline = Some(
-            g.net
-                .set_timer(ends + tidewall_audit::GRACE, of::LATE | key as u64),
-        );
+        let connection = ready[target.round_robin % ready.len()];
+        let other_connection = ready[(target.round_robin + 1) % ready.len()];
+        let deadline = now + left;
+        (self.requests[key].deadline, self.requests[key].was_sent) = (deadline, false);
+        self.requests[key].timeout_timer = Some(context.net.set_timer(
+            deadline + tidewall_audit::GRACE,
+            timer_kind::TIMED_OUT | key as u64,
+        ));
         // AMQP has no message to abandon a request.
-        if g.chance.random_ratio(1, self.impatient) && !self.amqp && !self.pair {
-            self.events[key].leaves = Some(g.net.set_timer(now + left / 3, of::LEAVE | key as u64));
+        if context.rng.random_ratio(1, self.abandon_ratio) && !self.amqp && !self.pair {
+            self.requests[key].abandon_timer = Some(
+                context
+                    .net
+                    .set_timer(now + left / 3, timer_kind::ABANDON | key as u64),
+            );
         }
-        self.ask(g, key, (gw, n), left);
-        if self.twice && self.amqp && other != n && self.events.get(key).is_some_and(|e| e.sent) {
-            self.twin(g, key, (gw, other), left);
+        self.send(context, key, (gateway, connection), left);
+        if self.publish_twice
+            && self.amqp
+            && other_connection != connection
+            && self
+                .requests
+                .get(key)
+                .is_some_and(|request| request.in_flight)
+        {
+            self.send_duplicate(context, key, (gateway, other_connection), left);
         }
     }
 
     /// Sends an attempt on a connection; its client gives up after `left`.
-    fn ask<N: Net>(&mut self, g: &mut Ground<N>, key: usize, (gw, n): (usize, usize), left: Time) {
-        let Some(conn) = self.gateways[gw].conns[n].0 else {
+    fn send<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        key: usize,
+        (gateway, connection): (usize, usize),
+        left: Time,
+    ) {
+        let Some(conn) = self.gateways[gateway].connections[connection].0 else {
             return;
         };
-        let (evt, program) = (self.id(key), &g.programs[self.events[key].program]);
-        let typ = program.typ;
-        let e = &mut self.events[key];
-        let mut payload = vec![0; self.payload.max(4)];
-        payload[..4].copy_from_slice(&(e.work.ceil() as u32).to_be_bytes());
-        g.out.clear();
+        let (request_id, function) = (
+            self.request_id(key),
+            &context.functions[self.requests[key].function],
+        );
+        let request_type = function.request_type;
+        let request = &mut self.requests[key];
+        let mut payload = vec![0; self.payload_size.max(4)];
+        payload[..4].copy_from_slice(&(request.work.ceil() as u32).to_be_bytes());
+        context.buffer.clear();
         if self.amqp {
-            let key = format!("{}.{}", self.types[typ].name, program.name);
-            let (left, resent) = (left / 10, e.tries > 1 || e.asked);
-            self.gateways[gw].terminals[n].publish(
-                &mut g.out,
-                evt,
+            let key = format!("{}.{}", self.types[request_type].name, function.name);
+            let (left, resent) = (left / 10, request.attempts > 1 || request.was_sent);
+            self.gateways[gateway].amqp_clients[connection].publish(
+                &mut context.buffer,
+                request_id,
                 &key,
                 left,
-                mark(evt),
+                idempotency_key(request_id),
                 resent,
                 &payload,
             );
         } else {
-            let f = Frame::new(&mut g.out, kind::EVENT).whole(Field::Id, evt);
+            let f = Frame::new(&mut context.buffer, kind::EVENT).whole(Field::Id, request_id);
             let f = f
-                .text(Field::Type, &self.types[typ].name)
-                .text(Field::Function, &program.name);
+                .text(Field::Type, &self.types[request_type].name)
+                .text(Field::Function, &function.name);
             let f = f.text(
                 Field::Tenant,
-                self.tenants.get(e.tenant).map_or("", String::as_str),
+                self.tenants.get(request.tenant).map_or("", String::as_str),
             );
             let f = f
-                .whole(Field::Lanes, u64::from(program.lanes))
-                .real(Field::Memory, program.memory);
+                .whole(Field::Lanes, u64::from(function.lanes))
+                .real(Field::Memory, function.memory);
             let f = f
-                .whole(Field::Hint, program.work as u64)
-                .whole(Field::LoadHint, program.fetch + program.start);
+                .whole(Field::Hint, function.work as u64)
+                .whole(Field::LoadHint, function.fetch_time + function.start_time);
             let f = f
                 .whole(Field::Left, left)
-                .bytes(Field::Mark, &mark(evt).to_be_bytes());
-            f.flag(Field::Resent, e.tries > 1 || e.asked)
+                .bytes(Field::Mark, &idempotency_key(request_id).to_be_bytes());
+            f.flag(Field::Resent, request.attempts > 1 || request.was_sent)
                 .bytes(Field::Payload, &payload)
                 .end();
         }
-        (e.at, e.sent) = (Some((gw, n)), true);
-        let again = std::mem::replace(&mut e.asked, true);
+        (request.sent_to, request.in_flight) = (Some((gateway, connection)), true);
+        let again = std::mem::replace(&mut request.was_sent, true);
         // Recorded before it is sent, so that no launch of it can be recorded first.
-        let k = if again { Kind::AskedAgain } else { Kind::Asked };
-        g.row(Row {
-            k,
-            evt,
-            gw,
-            typ,
+        let kind = if again { Kind::AskedAgain } else { Kind::Asked };
+        context.record_row(Row {
+            k: kind,
+            evt: request_id,
+            gw: gateway,
+            typ: request_type,
             left,
             ..Row::default()
         });
         self.results.asked_again += u64::from(again);
-        if !g.net.write(conn, &g.out) {
+        if !context.net.write(conn, &context.buffer) {
             if self.pair {
-                self.events[key].sent = false;
+                self.requests[key].in_flight = false;
                 return;
             }
-            g.row(Row {
+            context.record_row(Row {
                 k: Kind::TurnedAway,
-                evt,
-                gw,
+                evt: request_id,
+                gw: gateway,
                 ..Row::default()
             });
-            self.over(g, key, true, 0);
+            self.end_attempt(context, key, true, 0);
         }
     }
 
     /// Publishes the request again as another AMQP client of the gateway, with the same message-id.
-    fn twin<N: Net>(&mut self, g: &mut Ground<N>, of: usize, (gw, n): (usize, usize), left: Time) {
-        let now = g.net.now();
-        let e = &self.events[of];
-        if e.tries >= TRIES
+    fn send_duplicate<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        original: usize,
+        (gateway, connection): (usize, usize),
+        left: Time,
+    ) {
+        let now = context.net.now();
+        let request = &self.requests[original];
+        if request.attempts >= TRIES
             || self
-                .events
+                .requests
                 .iter()
-                .any(|t| t.1.twin && t.1.number == e.number)
+                .any(|t| t.1.duplicate && t.1.number == request.number)
         {
             return;
         }
-        let (typ, program) = (g.programs[e.program].typ, &g.programs[e.program]);
-        let mut payload = vec![0; self.payload.max(4)];
-        payload[..4].copy_from_slice(&(e.work.ceil() as u32).to_be_bytes());
-        let at = Some((gw, n));
-        let twin = Event {
-            tries: TRIES,
-            at,
-            sent: true,
-            deadline: None,
-            leaves: None,
-            twin: true,
-            ..*e
+        let (request_type, function) = (
+            context.functions[request.function].request_type,
+            &context.functions[request.function],
+        );
+        let mut payload = vec![0; self.payload_size.max(4)];
+        payload[..4].copy_from_slice(&(request.work.ceil() as u32).to_be_bytes());
+        let sent_to = Some((gateway, connection));
+        let duplicate = Request {
+            attempts: TRIES,
+            sent_to,
+            in_flight: true,
+            timeout_timer: None,
+            abandon_timer: None,
+            duplicate: true,
+            ..*request
         };
-        let key = self.events.insert(twin);
-        let evt = self.id(key);
-        g.out.clear();
-        let name = format!("{}.{}", self.types[typ].name, program.name);
-        self.gateways[gw].terminals[n].publish(
-            &mut g.out,
-            evt,
+        let key = self.requests.insert(duplicate);
+        let request_id = self.request_id(key);
+        context.buffer.clear();
+        let name = format!("{}.{}", self.types[request_type].name, function.name);
+        self.gateways[gateway].amqp_clients[connection].publish(
+            &mut context.buffer,
+            request_id,
             &name,
             left / 10,
-            mark(evt),
+            idempotency_key(request_id),
             false,
             &payload,
         );
-        let late = g
-            .net
-            .set_timer(now + left + tidewall_audit::GRACE, of::LATE | key as u64);
-        self.events[key].deadline = Some(late);
+        let timer = context.net.set_timer(
+            now + left + tidewall_audit::GRACE,
+            timer_kind::TIMED_OUT | key as u64,
+        );
+        self.requests[key].timeout_timer = Some(timer);
         self.results.twins += 1;
-        g.row(Row {
+        context.record_row(Row {
             k: Kind::Asked,
-            evt,
-            gw,
-            typ,
+            evt: request_id,
+            gw: gateway,
+            typ: request_type,
             left,
             ..Row::default()
         });
-        if let Some(conn) = self.gateways[gw].conns[n].0 {
-            g.net.write(conn, &g.out);
+        if let Some(conn) = self.gateways[gateway].connections[connection].0 {
+            context.net.write(conn, &context.buffer);
         }
     }
 
     /// Whether a repeat is harmless: the type is redeliverable, or keyed with a scope of all workers.
-    fn harmless(&self, typ: usize) -> bool {
-        let typ = &self.types[typ];
-        typ.redelivery == "REDELIVERABLE" || typ.redelivery == "KEYED" && typ.all
+    fn repeat_is_harmless(&self, request_type: usize) -> bool {
+        let request_type = &self.types[request_type];
+        request_type.redelivery == "REDELIVERABLE"
+            || request_type.redelivery == "KEYED" && request_type.all_workers
     }
 
     /// Ends the current attempt, and retries if `again` is set, retries are left and the request is young
     /// enough.
-    fn over<N: Net>(&mut self, g: &mut Ground<N>, key: usize, again: bool, come_back: Time) {
-        let now = g.net.now();
-        let e = &mut self.events[key];
-        (e.at, e.sent) = (None, false);
-        for d in [e.deadline.take(), e.leaves.take()].into_iter().flatten() {
-            g.net.cancel_timer(d);
+    fn end_attempt<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        key: usize,
+        again: bool,
+        come_back: Time,
+    ) {
+        let now = context.net.now();
+        let request = &mut self.requests[key];
+        (request.sent_to, request.in_flight) = (None, false);
+        for d in [request.timeout_timer.take(), request.abandon_timer.take()]
+            .into_iter()
+            .flatten()
+        {
+            context.net.cancel_timer(d);
         }
-        let typ = &self.types[g.programs[e.program].typ];
-        let wait = self.wait.max(come_back);
+        let request_type = &self.types[context.functions[request.function].request_type];
+        let delay = self.retry_delay.max(come_back);
         if again
-            && !e.twin
-            && e.tries <= self.retries
-            && now + wait < e.due + typ.age
-            && now < self.until.max(e.due)
+            && !request.duplicate
+            && request.attempts <= self.retries
+            && now + delay < request.due + request_type.max_age
+            && now < self.send_until.max(request.due)
         {
-            g.net.set_timer(now + wait, of::RETRY | key as u64);
+            context
+                .net
+                .set_timer(now + delay, timer_kind::RETRY | key as u64);
         } else {
-            self.events.remove(key);
+            self.requests.remove(key);
         }
     }
 
-    pub fn frame<N: Net>(
+    pub fn handle_frame<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        gw: usize,
-        n: usize,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
         fields: &Fields,
     ) -> Result<(), String> {
         match fields.kind()? {
@@ -878,17 +1030,17 @@
                     return Err(format!("field epoch: {epoch} is older than {}", self.epoch));
                 }
                 self.epoch = epoch;
-                self.ready(g, gw, n);
+                self.connection_ready(context, gateway, connection);
                 Ok(())
             }
             kind::ANSWER => {
-                let (evt, word) = (fields.whole(Field::Id)?, fields.text(Field::Word)?);
+                let (request_id, word) = (fields.whole(Field::Id)?, fields.text(Field::Word)?);
                 let come_back = fields.upto(Field::ComeBack, 1 << 30, 0)?;
                 if self.pair && word == "turned-away" && fields.word(Field::Reason)? == "draining" {
                     // The other member serves: closing the connection makes the client connect to it.
                     return Err("another member serves".to_string());
                 }
-                self.answer(g, gw, evt, word, come_back)
+                self.handle_response(context, gateway, request_id, word, come_back)
             }
             kind::BEGUN => Ok(()),
             kind::ERROR => Err(format!("the gateway told: {}", fields.text(Field::Reason)?)),
@@ -897,45 +1049,52 @@
     }
 
     /// Decodes the bytes that an AMQP client received.
-    pub fn terminal<N: Net>(
+    pub fn amqp_received<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        gw: usize,
-        n: usize,
+        context: &mut Context<N>,
+        gateway: usize,
+        connection: usize,
         bytes: &[u8],
     ) -> Result<usize, String> {
-        let (mut told, mut out, mut used) = (Told::default(), Vec::new(), 0);
+        let (mut received, mut out, mut used) = (Received::default(), Vec::new(), 0);
         loop {
-            let one = self.gateways[gw].terminals[n].frame(&bytes[used..], &mut out, &mut told)?;
-            if one == 0 {
+            let length = self.gateways[gateway].amqp_clients[connection].frame(
+                &bytes[used..],
+                &mut out,
+                &mut received,
+            )?;
+            if length == 0 {
                 break;
             }
-            used += one;
+            used += length;
         }
-        if let Some(conn) = self.gateways[gw].conns[n].0.filter(|_| !out.is_empty()) {
-            g.net.write(conn, &out);
+        if let Some(conn) = self.gateways[gateway].connections[connection]
+            .0
+            .filter(|_| !out.is_empty())
+        {
+            context.net.write(conn, &out);
         }
-        if told.ready {
-            self.ready(g, gw, n);
+        if received.ready {
+            self.connection_ready(context, gateway, connection);
         }
-        for (evt, word, come_back) in told.answers {
-            self.words.insert(evt, word == "handled");
-            self.answer(g, gw, evt, &word, come_back)?;
+        for (request_id, word, come_back) in received.answers {
+            self.handled_responses.insert(request_id, word == "handled");
+            self.handle_response(context, gateway, request_id, &word, come_back)?;
         }
-        for (evt, good) in told.confirms {
+        for (request_id, good) in received.confirms {
             self.results.confirms += 1;
             // A nack without a response is right: the request's time had passed.
-            let handled = self.words.remove(&evt) == Some(true);
+            let handled = self.handled_responses.remove(&request_id) == Some(true);
             self.results.confirms_wrong += u64::from(handled != good);
         }
         Ok(used)
     }
 
-    fn answer<N: Net>(
+    fn handle_response<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        gw: usize,
-        evt: u64,
+        context: &mut Context<N>,
+        gateway: usize,
+        request_id: u64,
         word: &str,
         come_back: Time,
     ) -> Result<(), String> {
@@ -945,49 +1104,48 @@
         } else {
             Kind::Answered
         };
-        g.row(Row {
+        context.record_row(Row {
             k: kind,
-            evt,
-            gw,
+            evt: request_id,
+            gw: gateway,
             deferred,
             ..Row::default()
         });
-        let found = self
-            .events
-            .iter()
-            .find(|e| e.1.sent && e.1.number * TRIES + e.1.tries - 1 == evt);
-        let Some(key) = found.map(|e| e.0) else {
+        let found = self.requests.iter().find(|request| {
+            request.1.in_flight && request.1.number * TRIES + request.1.attempts - 1 == request_id
+        });
+        let Some(key) = found.map(|request| request.0) else {
             return Ok(());
         };
-        let typ = g.programs[self.events[key].program].typ;
+        let request_type = context.functions[self.requests[key].function].request_type;
         match word {
-            "handled" | "deferred" | "dead-lettered" if self.events[key].twin => {
-                self.over(g, key, false, 0)
+            "handled" | "deferred" | "dead-lettered" if self.requests[key].duplicate => {
+                self.end_attempt(context, key, false, 0)
             }
             "handled" => {
-                let took = g.net.now() - self.events[key].due;
+                let took = context.net.now() - self.requests[key].due;
                 self.results.handled += 1;
                 self.results.latency.saturating_record(took.max(1));
-                let list = if took <= self.types[typ].target {
+                let list = if took <= self.types[request_type].target_time {
                     &mut self.results.good
                 } else {
                     &mut self.results.late
                 };
-                list[typ] += 1;
-                self.over(g, key, false, 0);
+                list[request_type] += 1;
+                self.end_attempt(context, key, false, 0);
             }
             "deferred" => {
                 self.results.deferred += 1;
-                self.over(g, key, true, come_back);
+                self.end_attempt(context, key, true, come_back);
             }
             "dead-lettered" => {
                 self.results.dead_lettered += 1;
-                let again = self.types[typ].redelivery == "REDELIVERABLE";
-                self.over(g, key, again, 0);
+                let again = self.types[request_type].redelivery == "REDELIVERABLE";
+                self.end_attempt(context, key, again, 0);
             }
             "turned-away" => {
                 self.results.turned_away += 1;
-                self.over(g, key, true, come_back);
+                self.end_attempt(context, key, true, come_back);
             }
             other => return Err(format!("field word: '{other}' is no answer")),
         }
@@ -995,56 +1153,62 @@
     }
 
     /// The attempt's timeout and the grace after it passed without a response.
-    pub fn late<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
-        let (evt, gw) = (self.id(key), self.events[key].at.map_or(0, |a| a.0));
-        if self.pair && !self.events[key].asked {
+    pub fn timed_out<N: Net>(&mut self, context: &mut Context<N>, key: usize) {
+        let (request_id, gateway) = (
+            self.request_id(key),
+            self.requests[key].sent_to.map_or(0, |a| a.0),
+        );
+        if self.pair && !self.requests[key].was_sent {
             self.results.unreachable += 1;
-            self.events[key].deadline = None;
-            return self.over(g, key, true, 0);
+            self.requests[key].timeout_timer = None;
+            return self.end_attempt(context, key, true, 0);
         }
-        g.row(Row {
+        context.record_row(Row {
             k: Kind::GaveUp,
-            evt,
-            gw,
+            evt: request_id,
+            gw: gateway,
             ..Row::default()
         });
-        self.results.lapsed += u64::from(!self.events[key].twin);
-        self.events[key].deadline = None;
-        self.say_leave(g, key, evt);
-        let again =
-            self.types[g.programs[self.events[key].program].typ].redelivery == "REDELIVERABLE";
-        self.over(g, key, again, 0);
+        self.results.lapsed += u64::from(!self.requests[key].duplicate);
+        self.requests[key].timeout_timer = None;
+        self.send_leave(context, key, request_id);
+        let again = self.types[context.functions[self.requests[key].function].request_type]
+            .redelivery
+            == "REDELIVERABLE";
+        self.end_attempt(context, key, again, 0);
     }
 
     /// The client abandons the request early, and tells the gateway.
-    pub fn leave<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
-        let evt = self.id(key);
-        let Some((gw, _)) = self.events[key].at else {
+    pub fn abandon<N: Net>(&mut self, context: &mut Context<N>, key: usize) {
+        let request_id = self.request_id(key);
+        let Some((gateway, _)) = self.requests[key].sent_to else {
             return;
         };
-        self.events[key].leaves = None;
-        g.row(Row {
+        self.requests[key].abandon_timer = None;
+        context.record_row(Row {
             k: Kind::Left,
-            evt,
-            gw,
+            evt: request_id,
+            gw: gateway,
             ..Row::default()
         });
-        self.say_leave(g, key, evt);
+        self.send_leave(context, key, request_id);
         self.results.lapsed += 1;
-        self.over(g, key, false, 0);
+        self.end_attempt(context, key, false, 0);
     }
 
     /// Tells the gateway that no response is needed. AMQP has no such message.
-    fn say_leave<N: Net>(&mut self, g: &mut Ground<N>, key: usize, evt: u64) {
-        let at = self.events[key].at.filter(|_| !self.amqp);
-        let conn = at.and_then(|(gw, n)| self.gateways[gw].conns.get(n)?.0);
+    fn send_leave<N: Net>(&mut self, context: &mut Context<N>, key: usize, request_id: u64) {
+        let sent_to = self.requests[key].sent_to.filter(|_| !self.amqp);
+        let conn = sent_to.and_then(|(gateway, connection)| {
+            self.gateways[gateway].connections.get(connection)?.0
+        });
         let Some(conn) = conn else {
             return;
         };
-        g.out.clear();
-        Frame::new(&mut g.out, kind::LEAVE)
-            .whole(Field::Id, evt)
+        context.buffer.clear();
+        Frame::new(&mut context.buffer, kind::LEAVE)
+            .whole(Field::Id, request_id)
             .end();
-        g.net.write(conn, &g.out);
+        context.net.write(conn, &context.buffer);
     }
 }
--- a/crates/tidewall-emulator/src/depot.rs
+++ b/crates/tidewall-emulator/src/depot.rs
@@ -1,42 +1,48 @@
 //! The emulated artifact store: concurrent fetches share its capacity, fetches beyond a limit are refused,
 //! and a fault can stall or slow it.
-use crate::{of, Ground};
+use crate::{timer_kind, Context};
 use slab::Slab;
 use std::net::SocketAddr;
 use tidewall_config::Section;
 use tidewall_net::{Conn, Listener, Net, Time};
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame};
 
-pub struct Depot {
+pub struct ArtifactStore {
     pub listener: Listener,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     capacity: usize,
-    most: usize,
+    max_fetches: usize,
     fetches: Slab<(Conn, u64)>,
     /// No fetch completes before this time.
-    pub stalled: Time,
+    pub stalled_until: Time,
     /// Factor by which fetches take longer.
-    pub slow: f64,
+    pub slowdown: f64,
 }
 
-impl Depot {
-    pub fn new<N: Net>(g: &mut Ground<N>, settings: &Section) -> Result<Depot, String> {
-        let at: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let (listener, at) = g.net.listen(at).map_err(|e| format!("{at}: depot: {e}"))?;
-        Ok(Depot {
+impl ArtifactStore {
+    pub fn new<N: Net>(
+        context: &mut Context<N>,
+        settings: &Section,
+    ) -> Result<ArtifactStore, String> {
+        let address: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let (listener, address) = context
+            .net
+            .listen(address)
+            .map_err(|e| format!("{address}: depot: {e}"))?;
+        Ok(ArtifactStore {
             listener,
-            at,
+            address,
             capacity: settings.integer("capacity") as usize,
-            most: settings.integer("most") as usize,
+            max_fetches: settings.integer("most") as usize,
             fetches: Slab::new(),
-            stalled: 0,
-            slow: 1.0,
+            stalled_until: 0,
+            slowdown: 1.0,
         })
     }
 
-    pub fn frame<N: Net>(
+    pub fn handle_frame<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         conn: Conn,
         fields: &Fields,
     ) -> Result<(), String> {
@@ -44,40 +50,45 @@
             wire::greeted(fields)?;
             return Ok(());
         }
-        let (id, hint) = (
+        let (id, base_time) = (
             fields.whole(Field::Id)?,
             fields.upto(Field::LoadHint, 1 << 32, 0)?,
         );
         fields.text(Field::Function)?;
-        if self.fetches.len() >= self.most {
-            self.answer(g, conn, id, "full");
+        if self.fetches.len() >= self.max_fetches {
+            self.respond(context, conn, id, "full");
             return Ok(());
         }
         let key = self.fetches.insert((conn, id));
         // A fetch slows down with the fetches in progress when it starts. Later ones don't change its
         // duration.
-        let crowd = (self.fetches.len() as f64 / self.capacity as f64).max(1.0);
-        let now = g.net.now();
-        let at = now.max(self.stalled) + (hint as f64 * crowd * self.slow) as Time;
-        g.net.set_timer(at, of::FETCHED | key as u64);
+        let contention = (self.fetches.len() as f64 / self.capacity as f64).max(1.0);
+        let now = context.net.now();
+        let done_at =
+            now.max(self.stalled_until) + (base_time as f64 * contention * self.slowdown) as Time;
+        context
+            .net
+            .set_timer(done_at, timer_kind::FETCH_DONE | key as u64);
         Ok(())
     }
 
-    pub fn done<N: Net>(&mut self, g: &mut Ground<N>, key: usize) {
-        if g.net.now() < self.stalled {
-            g.net.set_timer(self.stalled, of::FETCHED | key as u64);
+    pub fn fetch_done<N: Net>(&mut self, context: &mut Context<N>, key: usize) {
+        if context.net.now() < self.stalled_until {
+            context
+                .net
+                .set_timer(self.stalled_until, timer_kind::FETCH_DONE | key as u64);
             return;
         }
         let (conn, id) = self.fetches.remove(key);
-        self.answer(g, conn, id, "ok");
+        self.respond(context, conn, id, "ok");
     }
 
-    fn answer<N: Net>(&self, g: &mut Ground<N>, conn: Conn, id: u64, outcome: &str) {
-        g.out.clear();
-        Frame::new(&mut g.out, kind::FETCHED)
+    fn respond<N: Net>(&self, context: &mut Context<N>, conn: Conn, id: u64, outcome: &str) {
+        context.buffer.clear();
+        Frame::new(&mut context.buffer, kind::FETCHED)
             .whole(Field::Id, id)
             .text(Field::Outcome, outcome)
             .end();
-        g.net.write(conn, &g.out);
+        context.net.write(conn, &context.buffer);
     }
 }
--- a/crates/tidewall-emulator/src/faults.rs
+++ b/crates/tidewall-emulator/src/faults.rs
@@ -1,7 +1,7 @@
 //! Scripted faults: each starts at its time, affects workers, gateways or clients drawn with the seed, and
 //! ends.
-use crate::workers::At;
-use crate::{of, Fleet, Gateways, Ground};
+use crate::workers::WorkerStatus;
+use crate::{timer_kind, Context, Fleet, Gateways};
 use rand::seq::IndexedRandom;
 use tidewall_audit::rows::{Kind, Row};
 use tidewall_config::Section;
@@ -10,288 +10,347 @@
 
 struct Fault {
     trouble: String,
-    lasts: Time,
+    duration: Time,
     count: usize,
-    machine: String,
+    machine_kind: String,
     factor: f64,
     /// Indices of the workers, gateways or connections that it affects.
-    hit: Vec<usize>,
+    affected: Vec<usize>,
 }
 
 pub struct Faults {
     list: Vec<Fault>,
     pub gateways: Box<dyn Gateways>,
     /// Gateways that are killed or suspended: no other fault selects them meanwhile.
-    busy: Vec<usize>,
+    unavailable: Vec<usize>,
 }
 
 impl Faults {
     pub(crate) fn new<N: Net>(
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         script: Option<&Section>,
         seconds: f64,
         gateways: Box<dyn Gateways>,
     ) -> Faults {
-        let now = g.net.now();
+        let now = context.net.now();
         let mut list = Vec::new();
         for f in script.map(|s| s.sections("fault")).unwrap_or_default() {
             let at = now + (f.number("at") * seconds * 10_000.0) as Time;
-            g.net.set_timer(at, of::FAULT | list.len() as u64);
+            context
+                .net
+                .set_timer(at, timer_kind::FAULT_BEGIN | list.len() as u64);
             list.push(Fault {
                 trouble: f.enum_value("trouble"),
-                lasts: f.duration("lasts_ms"),
+                duration: f.duration("lasts_ms"),
                 count: f.integer("count") as usize,
-                machine: f.text("kind"),
+                machine_kind: f.text("kind"),
                 factor: f.number("factor"),
-                hit: Vec::new(),
+                affected: Vec::new(),
             });
         }
         Faults {
             list,
             gateways,
-            busy: Vec::new(),
+            unavailable: Vec::new(),
         }
     }
 }
 
 impl<N: Net> Fleet<N> {
     /// Workers without a fault, of the machine kind that the fault is for (any if empty).
-    fn fit(&self, machine: &str) -> Vec<usize> {
-        let well = |w: &crate::workers::Worker| {
-            w.up && !w.draining && w.hung == 0 && w.silent == 0 && w.slow == 1.0
+    fn healthy_workers(&self, machine_kind: &str) -> Vec<usize> {
+        let is_healthy = |w: &crate::workers::Worker| {
+            w.up && !w.draining && w.hung_until == 0 && w.silent_until == 0 && w.slowdown == 1.0
         };
         let list = self.workers.list.iter().enumerate();
-        list.filter(|w| well(w.1) && (machine.is_empty() || w.1.machine == machine))
-            .map(|w| w.0)
-            .collect()
+        list.filter(|w| {
+            is_healthy(w.1) && (machine_kind.is_empty() || w.1.machine_kind == machine_kind)
+        })
+        .map(|w| w.0)
+        .collect()
     }
 
     /// Records that the caller killed a gateway, or started it again.
-    pub fn killed(&mut self, gw: usize, killed: bool) {
-        let k = if killed { Kind::Killed } else { Kind::Up };
-        self.ground.row(Row {
-            k,
-            gw,
+    pub fn killed(&mut self, gateway: usize, killed: bool) {
+        let kind = if killed { Kind::Killed } else { Kind::Up };
+        self.context.record_row(Row {
+            k: kind,
+            gw: gateway,
             ..Row::default()
         });
     }
 
     /// Records that a gateway is cut off from the network, or reachable again; to its clients it is the same
     /// as a suspended process.
-    pub fn apart(&mut self, gw: usize, apart: bool) {
-        let k = if apart { Kind::Still } else { Kind::Going };
-        self.ground.row(Row {
-            k,
-            gw,
+    pub fn apart(&mut self, gateway: usize, apart: bool) {
+        let kind = if apart { Kind::Still } else { Kind::Going };
+        self.context.record_row(Row {
+            k: kind,
+            gw: gateway,
             ..Row::default()
         });
     }
 
-    pub(crate) fn fault(&mut self, i: usize) {
-        let now = self.ground.net.now();
+    pub(crate) fn begin_fault(&mut self, i: usize) {
+        let now = self.context.net.now();
         let Fault {
             trouble,
-            lasts,
+            duration,
             count,
-            machine,
+            machine_kind,
             factor,
             ..
         } = &self.faults.list[i];
-        let (trouble, lasts, count, factor) = (trouble.clone(), *lasts, *count, *factor);
-        let until = now + lasts;
-        let g = &mut self.ground;
-        let mut hit = Vec::new();
+        let (trouble, duration, count, factor) = (trouble.clone(), *duration, *count, *factor);
+        let until = now + duration;
+        let context = &mut self.context;
+        let mut affected = Vec::new();
         if trouble.starts_with("WORKER_") {
-            let fit = self.fit(machine);
-            hit = fit
-                .choose_multiple(&mut self.ground.chance, count)
+            let candidates = self.healthy_workers(machine_kind);
+            affected = candidates
+                .choose_multiple(&mut self.context.rng, count)
                 .copied()
                 .collect();
         } else if trouble.starts_with("GATEWAY_") {
-            let busy = &self.faults.busy;
+            let unavailable = &self.faults.unavailable;
             let all = self
                 .faults
                 .gateways
                 .members()
                 .unwrap_or(self.clients.gateways());
-            let fit: Vec<usize> = (0..all).filter(|gw| !busy.contains(gw)).collect();
-            hit = fit.choose_multiple(&mut g.chance, count).copied().collect();
+            let candidates: Vec<usize> = (0..all)
+                .filter(|gateway| !unavailable.contains(gateway))
+                .collect();
+            affected = candidates
+                .choose_multiple(&mut context.rng, count)
+                .copied()
+                .collect();
         }
-        info!(trouble, ?hit, lasts_ms = lasts / 10, "fault");
-        for wk in hit
+        info!(trouble, hit = ?affected, lasts_ms = duration / 10, "fault");
+        for worker in affected
             .iter()
             .copied()
             .filter(|_| trouble.starts_with("WORKER_"))
         {
-            let (g, life, since) = (
-                &mut self.ground,
-                self.workers.list[wk].life,
-                self.workers.list[wk].since,
+            let (context, incarnation, started_at) = (
+                &mut self.context,
+                self.workers.list[worker].incarnation,
+                self.workers.list[worker].started_at,
             );
             match trouble.as_str() {
                 "WORKER_KILL" => {
-                    self.workers.kill(g, wk);
-                    self.roster.news(g, wk, At::Gone, life, since, None);
+                    self.workers.kill(context, worker);
+                    self.discovery_server.report(
+                        context,
+                        worker,
+                        WorkerStatus::Gone,
+                        incarnation,
+                        started_at,
+                        None,
+                    );
                 }
                 "WORKER_HANG" => {
-                    self.workers.hang(g, wk, until);
-                    if lasts > self.roster.silent_notice {
-                        let wait = Some(self.roster.silent_notice);
-                        self.roster.news(g, wk, At::Gone, life, since, wait);
+                    self.workers.hang(context, worker, until);
+                    if duration > self.discovery_server.silence_timeout {
+                        let wait = Some(self.discovery_server.silence_timeout);
+                        self.discovery_server.report(
+                            context,
+                            worker,
+                            WorkerStatus::Gone,
+                            incarnation,
+                            started_at,
+                            wait,
+                        );
                     }
                 }
-                "WORKER_SILENT" => self.workers.list[wk].silent = until,
-                "WORKER_SLOW" => self.workers.list[wk].slow = factor,
-                "WORKER_RESET" => self.workers.torn(g, wk),
+                "WORKER_SILENT" => self.workers.list[worker].silent_until = until,
+                "WORKER_SLOW" => self.workers.list[worker].slowdown = factor,
+                "WORKER_RESET" => self.workers.reset_mid_frame(context, worker),
                 _ => {
-                    self.workers.drain(g, wk);
-                    self.roster.news(g, wk, At::Draining, life, since, None);
+                    self.workers.drain(context, worker);
+                    self.discovery_server.report(
+                        context,
+                        worker,
+                        WorkerStatus::Draining,
+                        incarnation,
+                        started_at,
+                        None,
+                    );
                 }
             }
         }
-        let g = &mut self.ground;
-        for gw in hit
+        let context = &mut self.context;
+        for gateway in affected
             .iter()
             .copied()
             .filter(|_| trouble.starts_with("GATEWAY_"))
         {
-            self.faults.busy.push(gw);
+            self.faults.unavailable.push(gateway);
             if trouble == "GATEWAY_KILL" {
                 let pair = self.faults.gateways.members().is_some();
-                g.row(Row {
+                context.record_row(Row {
                     k: Kind::Killed,
-                    gw: if pair { 0 } else { gw },
+                    gw: if pair { 0 } else { gateway },
                     ..Row::default()
                 });
-                self.faults.gateways.kill(gw);
+                self.faults.gateways.kill(gateway);
             } else {
-                g.row(Row {
+                context.record_row(Row {
                     k: Kind::Still,
-                    gw,
+                    gw: gateway,
                     ..Row::default()
                 });
-                self.faults.gateways.still(gw, true);
+                self.faults.gateways.still(gateway, true);
             }
         }
         if trouble.starts_with("TERMINAL_") {
-            self.terminals(&trouble, count, factor, &mut hit);
+            self.begin_client_fault(&trouble, count, factor, &mut affected);
         }
-        let g = &mut self.ground;
+        let context = &mut self.context;
         match trouble.as_str() {
-            "DEPOT_STALL" => self.depot.stalled = until,
-            "DEPOT_SLOW" => self.depot.slow = factor,
-            "BURST" => self.clients.burst = factor,
-            "HEAVY" => self.clients.heavy = factor,
+            "DEPOT_STALL" => self.artifact_store.stalled_until = until,
+            "DEPOT_SLOW" => self.artifact_store.slowdown = factor,
+            "BURST" => self.clients.rate_factor = factor,
+            "HEAVY" => self.clients.work_factor = factor,
             "REPORTS_LATE" => self
                 .workers
                 .list
                 .iter_mut()
-                .for_each(|w| w.late_reports = true),
-            "ROSTER_SILENT" => self.roster.silent = until,
-            "ROSTER_GONE" => self.roster.gone(g),
-            "COPIES_VOID" => self.workers.void(),
+                .for_each(|w| w.stale_reports = true),
+            "ROSTER_SILENT" => self.discovery_server.silent_until = until,
+            "ROSTER_GONE" => self.discovery_server.stop(context),
+            "COPIES_VOID" => self.workers.discard_idle_instances(),
             _ => {}
         }
-        self.faults.list[i].hit = hit;
-        if lasts > 0 {
-            self.ground.net.set_timer(until, of::OVER | i as u64);
+        self.faults.list[i].affected = affected;
+        if duration > 0 {
+            self.context
+                .net
+                .set_timer(until, timer_kind::FAULT_END | i as u64);
         }
     }
 
     /// Starts a fault of AMQP clients; adds to `hit` the connections that are needed to end it.
-    fn terminals(&mut self, trouble: &str, count: usize, factor: f64, hit: &mut Vec<usize>) {
-        let g = &mut self.ground;
-        let lines = self.clients.lines();
-        let drawn: Vec<(usize, usize)> = lines
-            .choose_multiple(&mut g.chance, count)
+    fn begin_client_fault(
+        &mut self,
+        trouble: &str,
+        count: usize,
+        factor: f64,
+        affected: &mut Vec<usize>,
+    ) {
+        let context = &mut self.context;
+        let open_connections = self.clients.open_connections();
+        let drawn: Vec<(usize, usize)> = open_connections
+            .choose_multiple(&mut context.rng, count)
             .copied()
             .collect();
-        for (gw, n) in drawn {
+        for (gateway, connection) in drawn {
             match trouble {
-                "TERMINAL_CUT" => self.clients.cut(g, gw, n),
-                "TERMINAL_CHANNEL" => self.clients.close_channel(g, gw, n),
+                "TERMINAL_CUT" => self.clients.cut_connection(context, gateway, connection),
+                "TERMINAL_CHANNEL" => self.clients.close_channel(context, gateway, connection),
                 "TERMINAL_SLOW" => {
-                    self.clients.slow(g, gw, n);
-                    hit.push(gw << 32 | n);
+                    self.clients.stop_reading(context, gateway, connection);
+                    affected.push(gateway << 32 | connection);
                 }
                 _ => {}
             }
         }
         match trouble {
-            "TERMINAL_TWICE" => self.clients.twice = true,
-            "TERMINAL_SKEW" => self.clients.skew = factor,
-            "TERMINAL_LOGINS" => self.clients.guests(g, count, 0),
-            "TERMINAL_HOARDS" => self.clients.guests(g, count, factor as u64),
+            "TERMINAL_TWICE" => self.clients.publish_twice = true,
+            "TERMINAL_SKEW" => self.clients.clock_factor = factor,
+            "TERMINAL_LOGINS" => self.clients.open_extra_logins(context, count, 0),
+            "TERMINAL_HOARDS" => self
+                .clients
+                .open_extra_logins(context, count, factor as u64),
             _ => {}
         }
     }
 
-    pub(crate) fn fault_over(&mut self, i: usize, _: usize) {
+    pub(crate) fn end_fault(&mut self, i: usize, _: usize) {
         let fault = &mut self.faults.list[i];
-        let (trouble, hit) = (fault.trouble.clone(), std::mem::take(&mut fault.hit));
-        info!(trouble, ?hit, "fault over");
-        let g = &mut self.ground;
-        for which in hit {
+        let (trouble, affected) = (fault.trouble.clone(), std::mem::take(&mut fault.affected));
+        info!(trouble, hit = ?affected, "fault over");
+        let context = &mut self.context;
+        for index in affected {
             match trouble.as_str() {
                 "GATEWAY_KILL" => {
                     let pair = self.faults.gateways.members().is_some();
-                    g.row(Row {
+                    context.record_row(Row {
                         k: Kind::Up,
-                        gw: if pair { 0 } else { which },
+                        gw: if pair { 0 } else { index },
                         ..Row::default()
                     });
-                    self.faults.busy.retain(|gw| *gw != which);
-                    self.faults.gateways.start(which);
+                    self.faults.unavailable.retain(|gateway| *gateway != index);
+                    self.faults.gateways.start(index);
                 }
                 "GATEWAY_STILL" => {
-                    self.faults.busy.retain(|gw| *gw != which);
-                    self.faults.gateways.still(which, false);
-                    g.row(Row {
+                    self.faults.unavailable.retain(|gateway| *gateway != index);
+                    self.faults.gateways.still(index, false);
+                    context.record_row(Row {
                         k: Kind::Going,
-                        gw: which,
+                        gw: index,
                         ..Row::default()
                     });
                 }
                 "WORKER_HANG" => {
-                    self.workers.go(g, which);
-                    self.roster.unsay(which);
-                    let w = &self.workers.list[which];
-                    let (life, since) = (w.life, w.since);
-                    self.roster.news(g, which, At::On, life, since, None);
+                    self.workers.resume(context, index);
+                    self.discovery_server.withdraw_gone(index);
+                    let w = &self.workers.list[index];
+                    let (incarnation, started_at) = (w.incarnation, w.started_at);
+                    self.discovery_server.report(
+                        context,
+                        index,
+                        WorkerStatus::Active,
+                        incarnation,
+                        started_at,
+                        None,
+                    );
+                }
+                "TERMINAL_SLOW" => {
+                    self.clients
+                        .break_stopped(context, index >> 32, index & 0xffff_ffff)
                 }
-                "TERMINAL_SLOW" => self.clients.slow_over(g, which >> 32, which & 0xffff_ffff),
-                "WORKER_SILENT" => self.workers.list[which].silent = 0,
-                "WORKER_SLOW" => self.workers.list[which].slow = 1.0,
+                "WORKER_SILENT" => self.workers.list[index].silent_until = 0,
+                "WORKER_SLOW" => self.workers.list[index].slowdown = 1.0,
                 "WORKER_KILL" | "WORKER_DRAIN" => {
                     if trouble == "WORKER_DRAIN" {
-                        self.workers.kill(g, which);
+                        self.workers.kill(context, index);
                     }
                     // A worker that fell over is not restarted.
-                    if !self.workers.list[which].fallen && self.workers.start(g, which) {
-                        let w = &self.workers.list[which];
-                        let (life, since) = (w.life, w.since);
-                        self.roster.news(g, which, At::On, life, since, None);
+                    if !self.workers.list[index].fell_over && self.workers.start(context, index) {
+                        let w = &self.workers.list[index];
+                        let (incarnation, started_at) = (w.incarnation, w.started_at);
+                        self.discovery_server.report(
+                            context,
+                            index,
+                            WorkerStatus::Active,
+                            incarnation,
+                            started_at,
+                            None,
+                        );
                     }
                 }
                 _ => {}
             }
         }
         match trouble.as_str() {
-            "DEPOT_SLOW" => self.depot.slow = 1.0,
-            "TERMINAL_TWICE" => self.clients.twice = false,
-            "TERMINAL_SKEW" => self.clients.skew = 1.0,
-            "TERMINAL_LOGINS" | "TERMINAL_HOARDS" => self.clients.guests_go(g),
-            "BURST" => self.clients.burst = 1.0,
-            "HEAVY" => self.clients.heavy = 1.0,
+            "DEPOT_SLOW" => self.artifact_store.slowdown = 1.0,
+            "TERMINAL_TWICE" => self.clients.publish_twice = false,
+            "TERMINAL_SKEW" => self.clients.clock_factor = 1.0,
+            "TERMINAL_LOGINS" | "TERMINAL_HOARDS" => self.clients.close_extra_logins(context),
+            "BURST" => self.clients.rate_factor = 1.0,
+            "HEAVY" => self.clients.work_factor = 1.0,
             "REPORTS_LATE" => self
                 .workers
                 .list
                 .iter_mut()
-                .for_each(|w| w.late_reports = false),
+                .for_each(|w| w.stale_reports = false),
             "ROSTER_SILENT" => {
-                g.net.set_timer(g.net.now(), of::TELL);
+                context
+                    .net
+                    .set_timer(context.net.now(), timer_kind::PUBLISH);
             }
-            "ROSTER_GONE" => self.roster.back(g),
+            "ROSTER_GONE" => self.discovery_server.restart(context),
             _ => {}
         }
     }
--- a/crates/tidewall-emulator/src/lib.rs
+++ b/crates/tidewall-emulator/src/lib.rs
@@ -11,11 +11,11 @@
 pub use clients::Results;
 
 use clients::Clients;
-use depot::Depot;
+use depot::ArtifactStore;
 use faults::Faults;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use roster::Roster;
+use roster::DiscoveryServer;
 use std::io::Write;
 use std::net::SocketAddr;
 use tidewall_audit::rows::{Group, Row, Rules, Type};
@@ -28,66 +28,66 @@
 /// Emulated component that a connection belongs to; workers and gateways by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Owner {
-    Nobody,
+    Detached,
     Worker(usize),
     /// A worker's connection to the artifact store.
     Fetcher(usize),
-    Depot,
-    Roster,
+    ArtifactStore,
+    DiscoveryServer,
     Client {
         gw: usize,
         n: usize,
     },
-    Guest(usize),
+    ExtraLogin(usize),
 }
 
 /// Kinds of timers, in the top byte of a timer's token.
-pub(crate) mod of {
-    pub const RUN: u64 = 1 << 56;
-    pub const START: u64 = 2 << 56;
-    pub const IDLE: u64 = 3 << 56;
-    pub const FETCHED: u64 = 4 << 56;
-    pub const TELL: u64 = 5 << 56;
-    pub const NEXT: u64 = 6 << 56;
-    pub const LATE: u64 = 7 << 56;
+pub(crate) mod timer_kind {
+    pub const ATTEMPT_DONE: u64 = 1 << 56;
+    pub const INSTANCE_LOADED: u64 = 2 << 56;
+    pub const UNLOAD_IDLE: u64 = 3 << 56;
+    pub const FETCH_DONE: u64 = 4 << 56;
+    pub const PUBLISH: u64 = 5 << 56;
+    pub const ARRIVAL: u64 = 6 << 56;
+    pub const TIMED_OUT: u64 = 7 << 56;
     pub const RETRY: u64 = 8 << 56;
     pub const CONNECT: u64 = 9 << 56;
-    pub const FAULT: u64 = 10 << 56;
-    pub const OVER: u64 = 11 << 56;
-    pub const END: u64 = 12 << 56;
-    pub const LEAVE: u64 = 13 << 56;
-    pub const WHAT: u64 = 0xff << 56;
+    pub const FAULT_BEGIN: u64 = 10 << 56;
+    pub const FAULT_END: u64 = 11 << 56;
+    pub const RUN_END: u64 = 12 << 56;
+    pub const ABANDON: u64 = 13 << 56;
+    pub const MASK: u64 = 0xff << 56;
 }
 
 /// A function that the fleet's workers can load. Times are tenths of a millisecond.
-pub(crate) struct Program {
+pub(crate) struct Function {
     pub name: String,
-    pub typ: usize,
+    pub request_type: usize,
     pub work: f64,
     pub memory: f64,
     pub lanes: u32,
-    pub fetch: Time,
-    pub start: Time,
+    pub fetch_time: Time,
+    pub start_time: Time,
     /// Share of all requests that goes to this function and those before it in the list.
-    pub upto: f64,
+    pub cumulative_share: f64,
 }
 
 /// State that all emulated components share.
-pub(crate) struct Ground<N: Net> {
+pub(crate) struct Context<N: Net> {
     pub net: N,
     owners: Vec<(u32, Owner)>,
     record: Box<dyn Write>,
-    pub chance: ChaCha8Rng,
-    pub programs: Vec<Program>,
+    pub rng: ChaCha8Rng,
+    pub functions: Vec<Function>,
     /// Name, address, zone, machine kind and rating of each worker, as the endpoint list gives them.
-    pub listed: Vec<(String, SocketAddr, usize, String, f64)>,
-    pub out: Vec<u8>,
+    pub endpoints: Vec<(String, SocketAddr, usize, String, f64)>,
+    pub buffer: Vec<u8>,
 }
 
-impl<N: Net> Ground<N> {
-    pub fn own(&mut self, conn: Conn, owner: Owner) {
+impl<N: Net> Context<N> {
+    pub fn set_owner(&mut self, conn: Conn, owner: Owner) {
         if self.owners.len() <= conn.index() {
-            self.owners.resize(conn.index() + 1, (0, Owner::Nobody));
+            self.owners.resize(conn.index() + 1, (0, Owner::Detached));
         }
         self.owners[conn.index()] = (conn.generation(), owner);
     }
@@ -96,19 +96,19 @@
         let owner = self
             .owners
             .get(conn.index())
-            .filter(|o| o.0 == conn.generation());
-        owner.map_or(Owner::Nobody, |o| o.1)
+            .filter(|entry| entry.0 == conn.generation());
+        owner.map_or(Owner::Detached, |entry| entry.1)
     }
 
-    pub fn row(&mut self, row: Row) {
+    pub fn record_row(&mut self, row: Row) {
         let row = Row {
             t: self.net.now(),
             ..row
         };
-        self.line(&row);
+        self.write_line(&row);
     }
 
-    fn line(&mut self, value: &impl serde::Serialize) {
+    fn write_line(&mut self, value: &impl serde::Serialize) {
         // A missing row could hide a breach from the audit, so a failed write ends the run.
         serde_json::to_writer(&mut self.record, value).expect("the record can be written");
         self.record
@@ -138,10 +138,10 @@
 }
 
 pub struct Fleet<N: Net> {
-    ground: Ground<N>,
+    context: Context<N>,
     workers: Workers,
-    depot: Depot,
-    roster: Roster,
+    artifact_store: ArtifactStore,
+    discovery_server: DiscoveryServer,
     clients: Clients,
     faults: Faults,
 }
@@ -168,7 +168,7 @@
 }
 
 /// The run ends this long after the clients' last request can have reached its maximum age.
-const AFTERMATH: Time = 5_000;
+const END_MARGIN: Time = 5_000;
 
 impl<N: Net> Fleet<N> {
     /// Opens all listeners; an error names the address.
@@ -179,51 +179,51 @@
         plan: Plan,
     ) -> Result<Fleet<N>, String> {
         let fleet = settings.section("fleet");
-        let mut ground = Ground {
+        let mut context = Context {
             net,
             owners: Vec::new(),
             record: plan.record,
-            chance: ChaCha8Rng::seed_from_u64(plan.seed),
-            programs: programs(settings, &fleet),
-            listed: Vec::new(),
-            out: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(plan.seed),
+            functions: functions(settings, &fleet),
+            endpoints: Vec::new(),
+            buffer: Vec::new(),
         };
-        let depot = Depot::new(&mut ground, &fleet.section("depot"))?;
-        let workers = Workers::new(&mut ground, settings, &fleet, depot.at)?;
+        let artifact_store = ArtifactStore::new(&mut context, &fleet.section("depot"))?;
+        let workers = Workers::new(&mut context, settings, &fleet, artifact_store.address)?;
         let mut workers = workers;
-        (workers.fences, workers.forgets) = (plan.fences, plan.forgets);
-        workers.task_epochs = plan.task_epochs;
-        ground.line(&Rules {
+        (workers.checks_epochs, workers.forgets_votes) = (plan.fences, plan.forgets);
+        workers.checks_task_epochs = plan.task_epochs;
+        context.write_line(&Rules {
             wild_clocks: plan.wild_clocks,
             ..rules(settings, &workers)
         });
-        let roster = Roster::new(&mut ground, settings, &fleet, &workers)?;
-        let clients = Clients::new(&mut ground, settings, &fleet, plan.seed, plan.amqp);
-        let faults = Faults::new(&mut ground, script, plan.seconds, plan.gateways);
+        let discovery_server = DiscoveryServer::new(&mut context, settings, &fleet, &workers)?;
+        let clients = Clients::new(&mut context, settings, &fleet, plan.seed, plan.amqp);
+        let faults = Faults::new(&mut context, script, plan.seconds, plan.gateways);
         let mut fleet = Fleet {
-            ground,
+            context,
             workers,
-            depot,
-            roster,
+            artifact_store,
+            discovery_server,
             clients,
             faults,
         };
-        let now = fleet.ground.net.now();
+        let now = fleet.context.net.now();
         if plan.clients {
-            fleet.clients.start(&mut fleet.ground);
+            fleet.clients.start(&mut fleet.context);
         }
         if plan.seconds > 0.0 {
             let until = now + (plan.seconds * 10_000.0) as Time;
-            fleet.clients.until = until;
+            fleet.clients.send_until = until;
             let age = settings
                 .sections("event_type")
                 .iter()
                 .map(|t| t.duration("max_age_ms"))
                 .max();
             fleet
-                .ground
+                .context
                 .net
-                .set_timer(until + age.unwrap_or(0) + AFTERMATH, of::END);
+                .set_timer(until + age.unwrap_or(0) + END_MARGIN, timer_kind::RUN_END);
         }
         Ok(fleet)
     }
@@ -237,18 +237,18 @@
         (
             self.workers.loads,
             self.workers.misses,
-            self.workers.dropped,
+            self.workers.repeats,
         )
     }
 
     /// Duration of each interval in which no client was connected to a failover pair's address.
     pub fn pauses(&self) -> &[Time] {
-        &self.clients.pauses
+        &self.clients.outages
     }
 
     /// Attempts refused because the member of a pair that sent them no longer serves.
     pub fn refused(&self) -> u64 {
-        self.workers.refused
+        self.workers.fenced
     }
 
     /// Names and addresses of the workers.
@@ -256,93 +256,93 @@
         self.workers
             .list
             .iter()
-            .map(|w| (w.name.clone(), w.at))
+            .map(|w| (w.name.clone(), w.address))
             .collect()
     }
 
     /// Makes the endpoint list give these addresses, in the workers' order, instead of the workers' own: a
     /// relay listens there.
     pub fn fronts(&mut self, at: &[SocketAddr]) {
-        self.ground
-            .listed
+        self.context
+            .endpoints
             .iter_mut()
             .zip(at)
             .for_each(|(l, at)| l.1 = *at);
     }
 
     pub fn roster_at(&self) -> SocketAddr {
-        self.roster.at
+        self.discovery_server.address
     }
 
     pub fn flush(&mut self) {
-        self.ground
+        self.context
             .record
             .flush()
             .expect("the record can be written");
     }
 
-    fn frame(&mut self, conn: Conn, owner: Owner, fields: &Fields) -> Result<(), String> {
-        let ground = &mut self.ground;
+    fn handle_frame(&mut self, conn: Conn, owner: Owner, fields: &Fields) -> Result<(), String> {
+        let context = &mut self.context;
         match owner {
-            Owner::Nobody => Ok(()),
-            Owner::Worker(wk) => self.workers.frame(ground, wk, conn, fields),
-            Owner::Fetcher(wk) => self.workers.fetched(ground, wk, fields),
-            Owner::Depot => self.depot.frame(ground, conn, fields),
-            Owner::Roster => self.roster.frame(ground, conn, fields),
-            Owner::Client { gw, n } => self.clients.frame(ground, gw, n, fields),
-            Owner::Guest(_) => Ok(()),
+            Owner::Detached => Ok(()),
+            Owner::Worker(worker) => self.workers.handle_frame(context, worker, conn, fields),
+            Owner::Fetcher(worker) => self.workers.handle_fetch_response(context, worker, fields),
+            Owner::ArtifactStore => self.artifact_store.handle_frame(context, conn, fields),
+            Owner::DiscoveryServer => self.discovery_server.handle_frame(context, conn, fields),
+            Owner::Client { gw, n } => self.clients.handle_frame(context, gw, n, fields),
+            Owner::ExtraLogin(_) => Ok(()),
         }
     }
 }
 
 /// The functions with their cumulative shares; within a group the shares follow Zipf's law, largest first.
-fn programs(settings: &Section, fleet: &Section) -> Vec<Program> {
+fn functions(settings: &Section, fleet: &Section) -> Vec<Function> {
     let types: Vec<String> = settings
         .sections("event_type")
         .iter()
         .map(|t| t.text("name"))
         .collect();
     let groups = fleet.sections("programs");
-    let all: f64 = groups.iter().map(|p| p.number("share")).sum();
-    let (mut list, mut upto) = (Vec::new(), 0.0);
+    let total_share: f64 = groups.iter().map(|p| p.number("share")).sum();
+    let (mut list, mut cumulative_share) = (Vec::new(), 0.0);
     for p in &groups {
         let weight = |i: u64| 1.0 / ((i + 1) as f64).powf(p.number("skew"));
         let sum: f64 = (0..p.integer("count")).map(weight).sum();
         for i in 0..p.integer("count") {
-            upto += p.number("share") / all * weight(i) / sum;
-            list.push(Program {
+            cumulative_share += p.number("share") / total_share * weight(i) / sum;
+            list.push(Function {
                 name: format!("{}{i}", p.text("name")),
-                typ: types
+                request_type: types
                     .iter()
                     .position(|t| *t == p.text("event_type"))
                     .unwrap_or(0),
                 work: p.number("work_ms") * 10.0,
                 memory: p.number("memory_mb"),
                 lanes: p.integer("lanes") as u32,
-                fetch: p.duration("fetch_ms"),
-                start: p.duration("start_ms"),
-                upto,
+                fetch_time: p.duration("fetch_ms"),
+                start_time: p.duration("start_ms"),
+                cumulative_share,
             });
         }
     }
     list
 }
 
-fn keepers(settings: &Section) -> Vec<usize> {
+fn grantors(settings: &Section) -> Vec<usize> {
     let names: Vec<String> = settings
         .sections("gateway")
         .iter()
-        .map(|g| g.text("name"))
+        .map(|gateway| gateway.text("name"))
         .collect();
-    let keepers = settings.section("fleet_common").strings("keeper");
-    keepers
+    let grantors = settings.section("fleet_common").strings("keeper");
+    grantors
         .iter()
         .filter_map(|k| names.iter().position(|n| n == k))
         .collect()
 }
 
 fn rules(settings: &Section, workers: &Workers) -> Rules {
-    let typ = |t: &Section| match (
+    let request_type = |t: &Section| match (
         t.enum_value("redelivery").as_str(),
         t.enum_value("group").as_str(),
     ) {
@@ -354,7 +354,11 @@
     };
     let (rules, loading) = (settings.section("rules"), settings.section("loading"));
     Rules {
-        types: settings.sections("event_type").iter().map(typ).collect(),
+        types: settings
+            .sections("event_type")
+            .iter()
+            .map(request_type)
+            .collect(),
         zones: workers.list.iter().map(|w| w.zone).collect(),
         cells: (0..workers.list.len()).collect(),
         two_at_once: settings.section("limits").flag("two_at_once"),
@@ -366,7 +370,7 @@
         load_share: loading.number("share"),
         pair: settings.has("pair"),
         wild_clocks: false,
-        keepers: keepers(settings),
+        keepers: grantors(settings),
         term: settings.section("fleet_common").duration("term_ms"),
     }
 }
@@ -375,81 +379,92 @@
     type Net = N;
 
     fn net(&mut self) -> &mut N {
-        &mut self.ground.net
+        &mut self.context.net
     }
 
     fn accepted(&mut self, listener: Listener, conn: Conn, _from: SocketAddr) {
-        let ground = &mut self.ground;
-        if self.depot.listener == listener {
-            ground.own(conn, Owner::Depot);
-        } else if self.roster.listener == Some(listener) {
-            self.roster.accepted(ground, conn);
-        } else if let Some(wk) = self
+        let context = &mut self.context;
+        if self.artifact_store.listener == listener {
+            context.set_owner(conn, Owner::ArtifactStore);
+        } else if self.discovery_server.listener == Some(listener) {
+            self.discovery_server.accepted(context, conn);
+        } else if let Some(worker) = self
             .workers
             .list
             .iter()
             .position(|w| w.listener == Some(listener))
         {
-            self.workers.accepted(ground, wk, conn);
+            self.workers.accepted(context, worker, conn);
         }
     }
 
     fn connected(&mut self, conn: Conn) {
-        match self.ground.owner(conn) {
-            Owner::Client { gw, n } => self.clients.connected(&mut self.ground, gw, n),
-            Owner::Guest(key) => self.clients.guest_there(&mut self.ground, key),
-            Owner::Fetcher(wk) => self.workers.depot_there(&mut self.ground, wk),
+        match self.context.owner(conn) {
+            Owner::Client { gw, n } => self.clients.connected(&mut self.context, gw, n),
+            Owner::ExtraLogin(key) => self.clients.extra_login_connected(&mut self.context, key),
+            Owner::Fetcher(worker) => self
+                .workers
+                .artifact_store_connected(&mut self.context, worker),
             _ => {}
         }
     }
 
     fn received(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let mut used = 0;
-        if let Owner::Client { gw, n } = self.ground.owner(conn) {
+        if let Owner::Client { gw, n } = self.context.owner(conn) {
             if self.clients.amqp {
                 return self
                     .clients
-                    .terminal(&mut self.ground, gw, n, bytes)
+                    .amqp_received(&mut self.context, gw, n, bytes)
                     .unwrap_or_else(|reason| {
                         warn!(reason, gw, n, "a terminal's connection ends");
-                        self.ground.net.abort(conn);
+                        self.context.net.abort(conn);
                         bytes.len()
                     });
             }
         }
-        if let Owner::Guest(key) = self.ground.owner(conn) {
+        if let Owner::ExtraLogin(key) = self.context.owner(conn) {
             return self
                 .clients
-                .guest(&mut self.ground, key, bytes)
+                .extra_login_received(&mut self.context, key, bytes)
                 .unwrap_or_else(|reason| {
                     warn!(reason, "a guest's connection ends");
-                    self.ground.net.abort(conn);
+                    self.context.net.abort(conn);
                     bytes.len()
                 });
         }
         loop {
-            let owner = self.ground.owner(conn);
-            let told = match wire::frame(&bytes[used..]) {
+            let owner = self.context.owner(conn);
+            let result = match wire::frame(&bytes[used..]) {
                 Ok(None) => return used,
                 Ok(Some((body, len))) => {
                     used += len;
                     Fields::read(body)
                         .map_err(String::from)
-                        .and_then(|fields| self.frame(conn, owner, &fields))
+                        .and_then(|fields| self.handle_frame(conn, owner, &fields))
                 }
                 Err(e) => Err(e.to_string()),
             };
-            for wk in std::mem::take(&mut self.workers.fell) {
-                let (life, since) = (self.workers.list[wk].life, self.workers.list[wk].since);
-                self.roster
-                    .news(&mut self.ground, wk, workers::At::Gone, life, since, None);
+            for worker in std::mem::take(&mut self.workers.unreported_falls) {
+                let (incarnation, started_at) = (
+                    self.workers.list[worker].incarnation,
+                    self.workers.list[worker].started_at,
+                );
+                self.discovery_server.report(
+                    &mut self.context,
+                    worker,
+                    workers::WorkerStatus::Gone,
+                    incarnation,
+                    started_at,
+                    None,
+                );
             }
-            if let Err(reason) = told {
+            if let Err(reason) = result {
                 warn!(reason, ?owner, "malformed frame");
                 let mut out = Vec::new();
                 wire::error(&mut out, &reason);
-                self.ground.net.write(conn, &out);
-                self.ground.net.abort(conn);
+                self.context.net.write(conn, &out);
+                self.context.net.abort(conn);
                 return bytes.len();
             }
         }
@@ -458,41 +473,41 @@
     fn writable(&mut self, _conn: Conn) {}
 
     fn closed(&mut self, conn: Conn, _why: CloseReason) {
-        let owner = self.ground.owner(conn);
-        self.ground.own(conn, Owner::Nobody);
-        let ground = &mut self.ground;
+        let owner = self.context.owner(conn);
+        self.context.set_owner(conn, Owner::Detached);
+        let context = &mut self.context;
         match owner {
-            Owner::Nobody | Owner::Depot => {}
-            Owner::Worker(wk) => self.workers.gateway_gone(ground, wk, conn),
-            Owner::Fetcher(wk) => self.workers.depot_gone(ground, wk),
-            Owner::Roster => self.roster.closed(conn),
-            Owner::Client { gw, n } => self.clients.closed(ground, gw, n),
-            Owner::Guest(key) => self.clients.guest_gone(key),
+            Owner::Detached | Owner::ArtifactStore => {}
+            Owner::Worker(worker) => self.workers.gateway_disconnected(context, worker, conn),
+            Owner::Fetcher(worker) => self.workers.artifact_store_disconnected(context, worker),
+            Owner::DiscoveryServer => self.discovery_server.closed(conn),
+            Owner::Client { gw, n } => self.clients.closed(context, gw, n),
+            Owner::ExtraLogin(key) => self.clients.extra_login_closed(key),
         }
     }
 
     fn timer_fired(&mut self, token: u64) {
-        let rest = token & !of::WHAT;
+        let rest = token & !timer_kind::MASK;
         let (high, low) = ((rest >> 32) as usize, (rest & 0xffff_ffff) as usize);
-        let ground = &mut self.ground;
-        match token & of::WHAT {
-            of::RUN => self.workers.ran(ground, high, low),
-            of::START => self.workers.loaded(ground, high, low),
-            of::IDLE => self.workers.idle(ground),
-            of::FETCHED => self.depot.done(ground, low),
-            of::TELL => self.roster.tell(ground, &self.workers),
-            of::NEXT => self.clients.next(ground),
-            of::LATE => self.clients.late(ground, low),
-            of::RETRY => self.clients.again(ground, low),
-            of::LEAVE => self.clients.leave(ground, low),
-            of::CONNECT => self.clients.connect(ground, high, low),
-            of::FAULT => self.fault(low),
-            of::OVER => self.fault_over(low, high),
-            _ => ground.net.stop(),
+        let context = &mut self.context;
+        match token & timer_kind::MASK {
+            timer_kind::ATTEMPT_DONE => self.workers.attempt_done(context, high, low),
+            timer_kind::INSTANCE_LOADED => self.workers.load_done(context, high, low),
+            timer_kind::UNLOAD_IDLE => self.workers.unload_idle(context),
+            timer_kind::FETCH_DONE => self.artifact_store.fetch_done(context, low),
+            timer_kind::PUBLISH => self.discovery_server.publish(context, &self.workers),
+            timer_kind::ARRIVAL => self.clients.arrivals(context),
+            timer_kind::TIMED_OUT => self.clients.timed_out(context, low),
+            timer_kind::RETRY => self.clients.start_attempt(context, low),
+            timer_kind::ABANDON => self.clients.abandon(context, low),
+            timer_kind::CONNECT => self.clients.connect(context, high, low),
+            timer_kind::FAULT_BEGIN => self.begin_fault(low),
+            timer_kind::FAULT_END => self.end_fault(low, high),
+            _ => context.net.stop(),
         }
     }
 
     fn signal_received(&mut self, _signal: i32) {
-        self.ground.net.stop();
+        self.context.net.stop();
     }
 }
--- a/crates/tidewall-emulator/src/roster.rs
+++ b/crates/tidewall-emulator/src/roster.rs
@@ -1,7 +1,7 @@
 //! The emulated discovery server: it publishes the workers' states with a delay, and reports a hung process
 //! as gone only after the silence timeout.
-use crate::workers::{At, Workers};
-use crate::{of, Ground, Owner};
+use crate::workers::{WorkerStatus, Workers};
+use crate::{timer_kind, Context, Owner};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tidewall_audit::rows::{Kind, Row};
@@ -9,84 +9,90 @@
 use tidewall_net::{Conn, Listener, Net, Time};
 use tidewall_wire::{self as wire, kind, Entries, Field, Fields, Frame};
 
-pub struct Roster {
+pub struct DiscoveryServer {
     pub listener: Option<Listener>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     zones: Vec<String>,
-    late: Time,
-    pub silent_notice: Time,
+    delay: Time,
+    pub silence_timeout: Time,
     /// Connections that subscribed to updates, with the gateway's index.
-    followers: Vec<(Conn, usize)>,
-    greeted: Vec<(Conn, usize)>,
+    subscribers: Vec<(Conn, usize)>,
+    gateways: Vec<(Conn, usize)>,
     /// Published state, incarnation and start time of each worker.
-    known: Vec<(At, u64, Time)>,
+    published: Vec<(WorkerStatus, u64, Time)>,
     /// Changes not yet published: when they will be, worker, state, incarnation, start time.
-    news: VecDeque<(Time, usize, At, u64, Time)>,
+    pending: VecDeque<(Time, usize, WorkerStatus, u64, Time)>,
     /// Nothing is sent before this time.
-    pub silent: Time,
+    pub silent_until: Time,
     generation: u64,
 }
 
-impl Roster {
+impl DiscoveryServer {
     pub fn new<N: Net>(
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         settings: &Section,
         fleet: &Section,
         workers: &Workers,
-    ) -> Result<Roster, String> {
-        let at = settings.section("roster").text("address");
-        let (listener, at) = g
+    ) -> Result<DiscoveryServer, String> {
+        let address = settings.section("roster").text("address");
+        let (listener, address) = context
             .net
-            .listen(at.parse().expect("checked"))
-            .map_err(|e| format!("{at}: roster: {e}"))?;
-        Ok(Roster {
+            .listen(address.parse().expect("checked"))
+            .map_err(|e| format!("{address}: roster: {e}"))?;
+        Ok(DiscoveryServer {
             listener: Some(listener),
-            at,
+            address,
             zones: settings.strings("zone"),
-            late: fleet.duration("roster_late_ms"),
-            silent_notice: fleet.duration("silent_notice_ms"),
-            followers: Vec::new(),
-            greeted: Vec::new(),
-            known: workers.list.iter().map(|w| (At::On, w.life, 0)).collect(),
-            news: VecDeque::new(),
-            silent: 0,
+            delay: fleet.duration("roster_late_ms"),
+            silence_timeout: fleet.duration("silent_notice_ms"),
+            subscribers: Vec::new(),
+            gateways: Vec::new(),
+            published: workers
+                .list
+                .iter()
+                .map(|w| (WorkerStatus::Active, w.incarnation, 0))
+                .collect(),
+            pending: VecDeque::new(),
+            silent_until: 0,
             generation: 0,
         })
     }
 
-    pub fn accepted<N: Net>(&mut self, g: &mut Ground<N>, conn: Conn) {
-        g.own(conn, Owner::Roster);
+    pub fn accepted<N: Net>(&mut self, context: &mut Context<N>, conn: Conn) {
+        context.set_owner(conn, Owner::DiscoveryServer);
     }
 
     pub fn closed(&mut self, conn: Conn) {
-        self.followers.retain(|f| f.0 != conn);
-        self.greeted.retain(|f| f.0 != conn);
+        self.subscribers.retain(|entry| entry.0 != conn);
+        self.gateways.retain(|entry| entry.0 != conn);
     }
 
-    pub fn frame<N: Net>(
+    pub fn handle_frame<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         conn: Conn,
         fields: &Fields,
     ) -> Result<(), String> {
         match fields.kind()? {
             kind::HELLO => {
                 wire::greeted(fields)?;
-                self.greeted
+                self.gateways
                     .push((conn, fields.whole(Field::Life)? as usize));
-                g.out.clear();
-                wire::hello(&mut g.out, "roster", "roster", 1);
-                g.net.write(conn, &g.out);
+                context.buffer.clear();
+                wire::hello(&mut context.buffer, "roster", "roster", 1);
+                context.net.write(conn, &context.buffer);
             }
             kind::FOLLOW | kind::LOOK_UP => {
-                let gw = self.greeted.iter().find(|c| c.0 == conn).map(|c| c.1);
-                let gw = gw.ok_or("field kind: a hello comes first")?;
-                if fields.kind()? == kind::FOLLOW && !self.followers.iter().any(|f| f.0 == conn) {
-                    self.followers.push((conn, gw));
+                let gateway = self.gateways.iter().find(|c| c.0 == conn).map(|c| c.1);
+                let gateway = gateway.ok_or("field kind: a hello comes first")?;
+                if fields.kind()? == kind::FOLLOW
+                    && !self.subscribers.iter().any(|entry| entry.0 == conn)
+                {
+                    self.subscribers.push((conn, gateway));
                 }
-                if g.net.now() >= self.silent {
-                    let all: Vec<usize> = (0..self.known.len()).collect();
-                    self.send(g, conn, gw, "whole", &all);
+                if context.net.now() >= self.silent_until {
+                    let all: Vec<usize> = (0..self.published.len()).collect();
+                    self.send(context, conn, gateway, "whole", &all);
                 }
             }
             other => return Err(format!("field kind: {other} is not for a roster")),
@@ -95,134 +101,143 @@
     }
 
     /// A worker's state changed; publishes it after `wait`, or after the configured delay.
-    pub fn news<N: Net>(
+    pub fn report<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
-        at: At,
-        life: u64,
-        since: Time,
+        context: &mut Context<N>,
+        worker: usize,
+        status: WorkerStatus,
+        incarnation: u64,
+        started_at: Time,
         wait: Option<Time>,
     ) {
-        let when = g.net.now() + wait.unwrap_or(self.late);
-        self.news.push_back((when, wk, at, life, since));
-        g.net.set_timer(when, of::TELL);
+        let publish_at = context.net.now() + wait.unwrap_or(self.delay);
+        self.pending
+            .push_back((publish_at, worker, status, incarnation, started_at));
+        context.net.set_timer(publish_at, timer_kind::PUBLISH);
     }
 
     /// Drops the pending reports that a worker is gone: its hung process has resumed.
-    pub fn unsay(&mut self, wk: usize) {
-        self.news.retain(|n| n.1 != wk || n.2 != At::Gone);
+    pub fn withdraw_gone(&mut self, worker: usize) {
+        self.pending
+            .retain(|change| change.1 != worker || change.2 != WorkerStatus::Gone);
     }
 
-    pub fn tell<N: Net>(&mut self, g: &mut Ground<N>, _workers: &Workers) {
-        let now = g.net.now();
+    pub fn publish<N: Net>(&mut self, context: &mut Context<N>, _workers: &Workers) {
+        let now = context.net.now();
         let mut changed = Vec::new();
-        self.news.retain(|&(when, wk, at, life, since)| {
-            if when <= now {
-                self.known[wk] = (at, life, since);
-                changed.push(wk);
-            }
-            when > now
-        });
-        if now < self.silent {
+        self.pending
+            .retain(|&(publish_at, worker, status, incarnation, started_at)| {
+                if publish_at <= now {
+                    self.published[worker] = (status, incarnation, started_at);
+                    changed.push(worker);
+                }
+                publish_at > now
+            });
+        if now < self.silent_until {
             // Changes made in the meantime are sent afterwards, as a complete list.
-            g.net.set_timer(self.silent, of::TELL);
+            context
+                .net
+                .set_timer(self.silent_until, timer_kind::PUBLISH);
             return;
         }
-        let all: Vec<usize> = (0..self.known.len()).collect();
-        let after = self.silent > 0;
-        for (conn, gw) in self.followers.clone() {
-            if after {
-                self.send(g, conn, gw, "whole", &all);
+        let all: Vec<usize> = (0..self.published.len()).collect();
+        let was_silent = self.silent_until > 0;
+        for (conn, gateway) in self.subscribers.clone() {
+            if was_silent {
+                self.send(context, conn, gateway, "whole", &all);
             } else if !changed.is_empty() {
-                self.send(g, conn, gw, "patch", &changed);
+                self.send(context, conn, gateway, "patch", &changed);
             }
         }
-        self.silent = 0;
+        self.silent_until = 0;
     }
 
     fn send<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         conn: Conn,
-        gw: usize,
+        gateway: usize,
         scope: &str,
         which: &[usize],
     ) {
-        let now = g.net.now();
+        let now = context.net.now();
         let mut list = Entries::default();
         self.generation += 1;
-        for wk in which.iter().copied() {
-            let (at, life, since) = self.known[wk];
-            if scope == "whole" && at == At::Gone {
-                g.row(Row {
+        for worker in which.iter().copied() {
+            let (status, incarnation, started_at) = self.published[worker];
+            if scope == "whole" && status == WorkerStatus::Gone {
+                context.record_row(Row {
                     k: Kind::Told,
-                    gw,
-                    wk,
+                    gw: gateway,
+                    wk: worker,
                     ..Row::default()
                 });
                 continue;
             }
-            let (name, place, zone, machine, rating) = g.listed[wk].clone();
-            let word = match at {
-                At::On => "on",
-                At::Draining => "draining",
-                At::Gone => "gone",
+            let (name, address, zone, machine_kind, rating) = context.endpoints[worker].clone();
+            let status_word = match status {
+                WorkerStatus::Active => "on",
+                WorkerStatus::Draining => "draining",
+                WorkerStatus::Gone => "gone",
             };
             list.add(|f| {
                 let f = f
                     .text(Field::Name, &name)
-                    .text(Field::Place, &place.to_string());
+                    .text(Field::Place, &address.to_string());
                 let f = f
                     .text(Field::Zone, &self.zones[zone])
-                    .text(Field::Machine, &machine);
-                let f = f.whole(Field::Cell, wk as u64).text(Field::Standing, word);
-                let f = f.real(Field::Rating, rating).whole(Field::Life, life);
-                if since > 0 {
-                    f.whole(Field::Age, (now - since).max(1))
+                    .text(Field::Machine, &machine_kind);
+                let f = f
+                    .whole(Field::Cell, worker as u64)
+                    .text(Field::Standing, status_word);
+                let f = f
+                    .real(Field::Rating, rating)
+                    .whole(Field::Life, incarnation);
+                if started_at > 0 {
+                    f.whole(Field::Age, (now - started_at).max(1))
                 } else {
                     f
                 }
             });
-            g.row(Row {
+            context.record_row(Row {
                 k: Kind::Told,
-                gw,
-                wk,
-                on: at == At::On,
+                gw: gateway,
+                wk: worker,
+                on: status == WorkerStatus::Active,
                 ..Row::default()
             });
         }
-        g.out.clear();
-        let f = Frame::new(&mut g.out, kind::ROSTER).text(Field::Scope, scope);
+        context.buffer.clear();
+        let f = Frame::new(&mut context.buffer, kind::ROSTER).text(Field::Scope, scope);
         f.whole(Field::Generation, self.generation)
             .entries(&list)
             .end();
-        g.net.write(conn, &g.out);
+        context.net.write(conn, &context.buffer);
     }
 
     /// Stops listening and resets all connections of gateways, until `back`.
-    pub fn gone<N: Net>(&mut self, g: &mut Ground<N>) {
+    pub fn stop<N: Net>(&mut self, context: &mut Context<N>) {
         if let Some(listener) = self.listener.take() {
-            g.net.stop_listening(listener);
+            context.net.stop_listening(listener);
         }
-        for (_, gw) in &self.followers {
-            g.row(Row {
+        for (_, gateway) in &self.subscribers {
+            context.record_row(Row {
                 k: Kind::Lost,
-                gw: *gw,
+                gw: *gateway,
                 on: true,
                 ..Row::default()
             });
         }
-        for (conn, _) in std::mem::take(&mut self.greeted) {
-            g.own(conn, Owner::Nobody);
-            g.net.reset(conn);
+        for (conn, _) in std::mem::take(&mut self.gateways) {
+            context.set_owner(conn, Owner::Detached);
+            context.net.reset(conn);
         }
-        self.followers.clear();
+        self.subscribers.clear();
     }
 
-    pub fn back<N: Net>(&mut self, g: &mut Ground<N>) {
+    pub fn restart<N: Net>(&mut self, context: &mut Context<N>) {
         if self.listener.is_none() {
-            self.listener = g.net.listen(self.at).ok().map(|l| l.0);
+            self.listener = context.net.listen(self.address).ok().map(|l| l.0);
         }
     }
 }
--- a/crates/tidewall-emulator/src/terminal.rs
+++ b/crates/tidewall-emulator/src/terminal.rs
@@ -8,19 +8,19 @@
 /// Receives what the broker sends to a client.
 pub trait Heard {
     fn ready(&mut self);
-    fn answer(&mut self, evt: u64, word: &str, come_back: u64);
-    fn confirmed(&mut self, evt: u64, good: bool);
+    fn answer(&mut self, request_id: u64, word: &str, come_back: u64);
+    fn confirmed(&mut self, request_id: u64, good: bool);
 }
 
 #[derive(Default)]
 pub struct Terminal {
     /// Whether the content that follows belongs to a delivery; other content is skipped.
     delivery: bool,
-    head: Option<u64>,
-    got: u64,
+    content_size: Option<u64>,
+    content_received: u64,
     published: u64,
     /// Publishes that are not confirmed yet, by delivery tag.
-    out: BTreeMap<u64, u64>,
+    unconfirmed: BTreeMap<u64, u64>,
     /// The channel is being closed: what still arrives on it is skipped.
     closing: bool,
     /// Number of messages in a queue of its own that it consumes without acks; 0 for a client that publishes
@@ -28,7 +28,7 @@
     hoard: u64,
 }
 
-const DIRECT: &str = "amq.rabbitmq.reply-to";
+const DIRECT_REPLY_TO: &str = "amq.rabbitmq.reply-to";
 
 impl Terminal {
     pub fn connected(&mut self, out: &mut Vec<u8>) {
@@ -60,7 +60,7 @@
     }
 
     /// Declares a queue; the reply to it publishes the messages and starts the consumer that never acks.
-    fn hoards(&mut self, out: &mut Vec<u8>) {
+    fn declare_hoard(&mut self, out: &mut Vec<u8>) {
         let m = FrameWriter::method(out, 1, MethodId::new(50, 10))
             .short(0)
             .short_str("");
@@ -80,29 +80,33 @@
         out: &mut Vec<u8>,
         heard: &mut impl Heard,
     ) -> Result<usize, String> {
-        let bad = |f: tidewall_amqp::ProtocolError| format!("{} {}", f.reply_code, f.reply_text);
-        let Some((frame, used)) = codec::decode_frame(bytes, 1 << 20).map_err(bad)? else {
+        let protocol_error =
+            |f: tidewall_amqp::ProtocolError| format!("{} {}", f.reply_code, f.reply_text);
+        let Some((frame, used)) = codec::decode_frame(bytes, 1 << 20).map_err(protocol_error)?
+        else {
             return Ok(0);
         };
         match frame.frame_type {
-            codec::FRAME_METHOD => self.method(frame.payload, out, heard).map_err(bad)?,
+            codec::FRAME_METHOD => self
+                .method(frame.payload, out, heard)
+                .map_err(protocol_error)?,
             codec::FRAME_HEADER => {
-                let header = codec::decode_content_header(frame.payload).map_err(bad)?;
+                let header = codec::decode_content_header(frame.payload).map_err(protocol_error)?;
                 let (size, p) = (header.body_size, header.properties);
-                (self.head, self.got) = (Some(size), 0);
+                (self.content_size, self.content_received) = (Some(size), 0);
                 if self.delivery && !self.closing && self.hoard == 0 {
                     let come_back = match p.headers.and_then(|h| h.get("x-come-back-ms")) {
                         Some(FieldValue::Signed(ms)) => ms.max(0) as u64 * 10,
                         _ => 0,
                     };
-                    let evt = p
+                    let request_id = p
                         .correlation_id
                         .parse()
                         .map_err(|_| "an answer without its correlation-id")?;
-                    heard.answer(evt, p.message_type, come_back);
+                    heard.answer(request_id, p.message_type, come_back);
                 }
             }
-            codec::FRAME_BODY => self.got += frame.payload.len() as u64,
+            codec::FRAME_BODY => self.content_received += frame.payload.len() as u64,
             _ => codec::write_heartbeat(out),
         }
         Ok(used)
@@ -117,12 +121,12 @@
         let mut a = ArgumentReader::new(payload);
         match (a.short()?, a.short()?) {
             (10, 10) => {
-                let mut can = TableWriter::default();
-                can.boolean("connection.blocked", true);
-                let mut about = TableWriter::default();
-                about.table("capabilities", &can.0);
+                let mut capabilities = TableWriter::default();
+                capabilities.boolean("connection.blocked", true);
+                let mut client_properties = TableWriter::default();
+                client_properties.table("capabilities", &capabilities.0);
                 let m = FrameWriter::method(out, 0, MethodId::new(10, 11))
-                    .long_str(&about.0)
+                    .long_str(&client_properties.0)
                     .short_str("PLAIN");
                 m.long_str(b"\0terminal\0terminal")
                     .short_str("en_US")
@@ -150,7 +154,7 @@
                     .finish();
                 let m = FrameWriter::method(out, 1, MethodId::new(60, 20))
                     .short(0)
-                    .short_str(DIRECT)
+                    .short_str(DIRECT_REPLY_TO)
                     .short_str("answers");
                 m.bit(false)
                     .bit(true)
@@ -159,7 +163,7 @@
                     .long_str(b"")
                     .finish();
             }
-            (60, 21) if self.hoard > 0 && !self.delivery => self.hoards(out),
+            (60, 21) if self.hoard > 0 && !self.delivery => self.declare_hoard(out),
             (60, 21) => heard.ready(),
             (20, 41) => {
                 *self = Terminal {
@@ -199,12 +203,16 @@
             (60, 60) => self.delivery = true,
             (60, 50) => self.delivery = false,
             (60, kind @ (80 | 120)) => {
-                let (seq, multiple) = (a.long_long()?, a.bit()?);
-                let from = if multiple { 0 } else { seq };
-                let done: Vec<u64> = self.out.range(from..=seq).map(|e| *e.0).collect();
-                for seq in done {
-                    if let Some(evt) = self.out.remove(&seq) {
-                        heard.confirmed(evt, kind == 80);
+                let (delivery_tag, multiple) = (a.long_long()?, a.bit()?);
+                let from = if multiple { 0 } else { delivery_tag };
+                let confirmed: Vec<u64> = self
+                    .unconfirmed
+                    .range(from..=delivery_tag)
+                    .map(|e| *e.0)
+                    .collect();
+                for delivery_tag in confirmed {
+                    if let Some(request_id) = self.unconfirmed.remove(&delivery_tag) {
+                        heard.confirmed(request_id, kind == 80);
                     }
                 }
             }
@@ -222,29 +230,32 @@
     pub fn publish(
         &mut self,
         out: &mut Vec<u8>,
-        evt: u64,
+        request_id: u64,
         key: &str,
         left_ms: u64,
-        mark: u64,
-        resent: bool,
+        idempotency_key: u64,
+        redelivered: bool,
         body: &[u8],
     ) {
         self.published += 1;
-        self.out.insert(self.published, evt);
+        self.unconfirmed.insert(self.published, request_id);
         let m = FrameWriter::method(out, 1, MethodId::new(60, 40))
             .short(0)
             .short_str("tidewall.events")
             .short_str(key);
         m.bit(false).bit(false).finish();
         let mut headers = TableWriter::default();
-        headers.boolean("x-redelivered", resent);
-        let (id, correlation, expiration) =
-            (mark.to_string(), evt.to_string(), left_ms.to_string());
+        headers.boolean("x-redelivered", redelivered);
+        let (id, correlation, expiration) = (
+            idempotency_key.to_string(),
+            request_id.to_string(),
+            left_ms.to_string(),
+        );
         let p = BasicProperties {
             headers: Some(codec::FieldTable(&headers.0)),
             message_id: &id,
             correlation_id: &correlation,
-            reply_to: DIRECT,
+            reply_to: DIRECT_REPLY_TO,
             expiration: &expiration,
             ..BasicProperties::default()
         };
