--- a/crates/tidewall-emulator/src/workers.rs
+++ b/crates/tidewall-emulator/src/workers.rs
@@ -1,7 +1,7 @@
 //! Emulated workers: memory, lanes, a queue, run times, loads from the artifact store, misses, unloading of
 //! idle instances, a slow start with failure under overload, repeats dropped within the scope and window of
 //! an idempotency key, drains, and stale load reports.
-use crate::{of, Ground, Owner};
+use crate::{timer_kind, Context, Owner};
 use slab::Slab;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,334 +14,359 @@
 
 /// State of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum At {
-    On,
+pub enum WorkerStatus {
+    Active,
     Draining,
     Gone,
 }
 
 /// A launch attempt at a worker, queued or running.
-struct Run {
+struct Attempt {
     conn: Conn,
     id: u64,
-    evt: u64,
-    program: usize,
+    request_id: u64,
+    function: usize,
     work: f64,
-    mark: u64,
-    came: Time,
+    idempotency_key: u64,
+    arrived_at: Time,
     running: bool,
-    /// 1 if an instance was loaded when the attempt arrived, 3 if the attempt waited for one.
-    copy: u64,
-    company: u64,
+    /// The `copy` field of the response: 1 if an instance was loaded when the attempt arrived, 3 if it waited
+    /// for one.
+    instance_state: u64,
+    /// Attempts at the same function that were running or queued when this one arrived.
+    concurrent_attempts: u64,
     deadline: Option<TimerId>,
 }
 
 /// The instances of one function at a worker.
 #[derive(Default)]
-struct Copies {
-    standing: u64,
+struct Instances {
+    loaded: u64,
     loading: u64,
     running: u32,
     waiting: VecDeque<usize>,
     idle_since: Time,
     /// Load requests, as connection, id and number of instances that they wait for.
-    orders: Vec<(Conn, u64, u64)>,
+    load_requests: Vec<(Conn, u64, u64)>,
 }
 
 pub struct Worker {
     pub name: String,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub zone: usize,
-    pub machine: String,
+    pub machine_kind: String,
     cores: f64,
     speed: f64,
     memory: f64,
-    queue: usize,
-    most_loads: usize,
+    max_queued: usize,
+    max_loads: usize,
     pub listener: Option<Listener>,
     pub up: bool,
     pub draining: bool,
-    pub fallen: bool,
-    pub life: u64,
+    pub fell_over: bool,
+    pub incarnation: u64,
     /// Time of the last start; 0 if the worker was warm from the beginning.
-    pub since: Time,
-    pub hung: Time,
-    pub silent: Time,
-    pub slow: f64,
-    pub late_reports: bool,
+    pub started_at: Time,
+    pub hung_until: Time,
+    pub silent_until: Time,
+    pub slowdown: f64,
+    pub stale_reports: bool,
     gateways: Vec<(Conn, usize)>,
     /// Connections of a failover pair's members, with the member's number, counted from 1.
     members: Vec<(Conn, usize)>,
     /// Attempts that ended while the worker was silent, so that their end was never sent.
-    swallowed: Vec<(Conn, u64)>,
+    unsent_ends: Vec<(Conn, u64)>,
     /// Voter state for a failover pair; it survives restarts of the worker.
-    promise: LeadershipAcceptor,
+    acceptor: LeadershipAcceptor,
     /// The highest epoch that took effect here, by task; it survives restarts, as the voter state does.
     epochs: BTreeMap<u64, u64>,
-    depot: Option<Conn>,
-    depot_up: bool,
-    runs: Slab<Run>,
-    copies: BTreeMap<usize, Copies>,
+    artifact_store: Option<Conn>,
+    /// Whether that connection is open.
+    artifact_store_ready: bool,
+    attempts: Slab<Attempt>,
+    instances: BTreeMap<usize, Instances>,
     /// Functions of the loads in progress; the key is part of the id of a fetch at the artifact store.
     loads: Slab<usize>,
-    busy: u32,
+    busy_lanes: u32,
     waiting: usize,
-    pushed: VecDeque<(Time, f64)>,
+    recent_work: VecDeque<(Time, f64)>,
     reports: VecDeque<(Time, f64, f64)>,
 }
 
 pub struct Workers {
     pub list: Vec<Worker>,
-    depot: SocketAddr,
-    miss: bool,
-    stays: Time,
-    cold: (Time, f64),
-    fall: (Time, f64),
-    in_flight: bool,
-    busy: bool,
-    with_answers: bool,
+    artifact_store_address: SocketAddr,
+    /// Whether a worker without an instance of the function ends an attempt as a miss; else it loads one.
+    reports_misses: bool,
+    /// Minimum time for which an idle instance stays loaded.
+    keep_loaded: Time,
+    /// Duration of the slow start, and the share of the capacity at its beginning.
+    slow_start: (Time, f64),
+    /// Window and multiple of the capacity at which a worker in slow start falls over.
+    overload: (Time, f64),
+    report_in_flight: bool,
+    report_busy: bool,
+    report_with_responses: bool,
     windows: Vec<Time>,
     /// Whether a request type's idempotency keys hold in all zones; those are kept with the first zone's.
-    alls: Vec<bool>,
+    all_zones: Vec<bool>,
     /// By zone, the idempotency keys that its workers know, with the time of the first run.
-    marks: Vec<BTreeMap<u64, Time>>,
+    known_keys: Vec<BTreeMap<u64, Time>>,
     pub loads: u64,
     pub misses: u64,
-    pub dropped: u64,
+    pub repeats: u64,
     /// Workers that fell over and were not yet reported to the discovery server.
-    pub fell: Vec<usize>,
+    pub unreported_falls: Vec<usize>,
     /// Whether the epochs of a failover pair are checked; turned off only to show that the audit notices it.
-    pub fences: bool,
-    pub forgets: bool,
+    pub checks_epochs: bool,
+    pub forgets_votes: bool,
     /// Maximum age of the ticket that an effect of a task carries.
-    ticket: Time,
+    max_ticket_age: Time,
     /// Whether the epochs of fleet-wide tasks are checked.
-    pub task_epochs: bool,
+    pub checks_task_epochs: bool,
     /// Attempts refused because their member of a pair no longer serves.
-    pub refused: u64,
+    pub fenced: u64,
 }
 
 /// Interval at which idle instances are unloaded and expired idempotency keys are removed.
-const IDLE: Time = 2_500;
+const IDLE_CHECK_INTERVAL: Time = 2_500;
 
 /// Age of the load report that a worker sends under the fault of late reports.
-const LATE_REPORT: Time = 10_000;
+const STALE_REPORT_AGE: Time = 10_000;
 
 impl Workers {
     pub fn new<N: Net>(
-        g: &mut Ground<N>,
+        context: &mut Context<N>,
         settings: &Section,
         fleet: &Section,
-        depot: SocketAddr,
+        artifact_store_address: SocketAddr,
     ) -> Result<Workers, String> {
         let (rules, loading) = (settings.section("rules"), settings.section("loading"));
         let (reports, zones) = (settings.section("reports"), settings.strings("zone"));
         let mut list = Vec::new();
         for group in fleet.sections("workers") {
-            let machine = settings
+            let machine_kind = settings
                 .sections("kind")
                 .into_iter()
                 .find(|k| k.text("name") == group.text("kind"));
             for i in 0..group.integer("count") {
-                let at: SocketAddr = ([127, 0, 0, 1], 0).into();
-                let (listener, at) = g.net.listen(at).map_err(|e| format!("{at}: worker: {e}"))?;
+                let address: SocketAddr = ([127, 0, 0, 1], 0).into();
+                let (listener, address) = context
+                    .net
+                    .listen(address)
+                    .map_err(|e| format!("{address}: worker: {e}"))?;
                 let name = format!("{}{i}", group.text("name"));
                 let zone = zones
                     .iter()
                     .position(|z| *z == group.text("zone"))
                     .unwrap_or(0);
                 let (cores, speed) = (group.number("cores"), group.number("speed"));
-                g.listed
-                    .push((name.clone(), at, zone, group.text("kind"), cores * speed));
+                context.endpoints.push((
+                    name.clone(),
+                    address,
+                    zone,
+                    group.text("kind"),
+                    cores * speed,
+                ));
                 list.push(Worker {
                     name,
-                    at,
+                    address,
                     zone,
-                    machine: group.text("kind"),
+                    machine_kind: group.text("kind"),
                     cores,
                     speed,
-                    memory: machine.as_ref().map_or(0.0, |m| m.number("memory_mb")),
-                    queue: group.integer("queue") as usize,
-                    most_loads: group.integer("loads") as usize,
+                    memory: machine_kind.as_ref().map_or(0.0, |m| m.number("memory_mb")),
+                    max_queued: group.integer("queue") as usize,
+                    max_loads: group.integer("loads") as usize,
                     listener: Some(listener),
                     up: true,
                     draining: false,
-                    fallen: false,
-                    life: 1,
-                    since: 0,
-                    hung: 0,
-                    silent: 0,
-                    slow: 1.0,
-                    late_reports: false,
+                    fell_over: false,
+                    incarnation: 1,
+                    started_at: 0,
+                    hung_until: 0,
+                    silent_until: 0,
+                    slowdown: 1.0,
+                    stale_reports: false,
                     gateways: Vec::new(),
                     members: Vec::new(),
-                    swallowed: Vec::new(),
-                    promise: LeadershipAcceptor::default(),
+                    unsent_ends: Vec::new(),
+                    acceptor: LeadershipAcceptor::default(),
                     epochs: BTreeMap::new(),
-                    depot: None,
-                    depot_up: false,
-                    runs: Slab::new(),
-                    copies: BTreeMap::new(),
+                    artifact_store: None,
+                    artifact_store_ready: false,
+                    attempts: Slab::new(),
+                    instances: BTreeMap::new(),
                     loads: Slab::new(),
-                    busy: 0,
+                    busy_lanes: 0,
                     waiting: 0,
-                    pushed: VecDeque::new(),
+                    recent_work: VecDeque::new(),
                     reports: VecDeque::new(),
                 });
             }
         }
-        let now = g.net.now();
-        g.net.set_timer(now + IDLE, of::IDLE);
+        let now = context.net.now();
+        context
+            .net
+            .set_timer(now + IDLE_CHECK_INTERVAL, timer_kind::UNLOAD_IDLE);
         Ok(Workers {
             list,
-            depot,
-            miss: loading.flag("miss"),
-            stays: loading.duration("stays_loaded_ms"),
-            cold: (rules.duration("cold_ms"), rules.number("cold_from")),
-            fall: (rules.duration("fall_ms"), rules.number("fall_multiple")),
-            in_flight: reports.flag("in_flight"),
-            busy: reports.flag("busy"),
-            with_answers: reports.flag("with_answers"),
+            artifact_store_address,
+            reports_misses: loading.flag("miss"),
+            keep_loaded: loading.duration("stays_loaded_ms"),
+            slow_start: (rules.duration("cold_ms"), rules.number("cold_from")),
+            overload: (rules.duration("fall_ms"), rules.number("fall_multiple")),
+            report_in_flight: reports.flag("in_flight"),
+            report_busy: reports.flag("busy"),
+            report_with_responses: reports.flag("with_answers"),
             windows: settings
                 .sections("event_type")
                 .iter()
                 .map(|t| t.duration("window_ms"))
                 .collect(),
-            alls: settings
+            all_zones: settings
                 .sections("event_type")
                 .iter()
                 .map(|t| t.enum_value("group") == "ALL")
                 .collect(),
-            marks: vec![BTreeMap::new(); zones.len()],
+            known_keys: vec![BTreeMap::new(); zones.len()],
             loads: 0,
             misses: 0,
-            dropped: 0,
-            fell: Vec::new(),
-            fences: true,
-            forgets: false,
-            ticket: settings.section("fleet_common").duration("ticket_ms"),
-            task_epochs: true,
-            refused: 0,
+            repeats: 0,
+            unreported_falls: Vec::new(),
+            checks_epochs: true,
+            forgets_votes: false,
+            max_ticket_age: settings.section("fleet_common").duration("ticket_ms"),
+            checks_task_epochs: true,
+            fenced: 0,
         })
     }
 
-    pub fn accepted<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, conn: Conn) {
-        g.own(conn, Owner::Worker(wk));
-        let w = &mut self.list[wk];
-        w.gateways.push((conn, usize::MAX));
-        if g.net.now() < w.hung {
-            g.net.set_read_paused(conn, true);
+    pub fn accepted<N: Net>(&mut self, context: &mut Context<N>, worker: usize, conn: Conn) {
+        context.set_owner(conn, Owner::Worker(worker));
+        let state = &mut self.list[worker];
+        state.gateways.push((conn, usize::MAX));
+        if context.net.now() < state.hung_until {
+            context.net.set_read_paused(conn, true);
         }
     }
 
-    pub fn frame<N: Net>(
+    pub fn handle_frame<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         conn: Conn,
         fields: &Fields,
     ) -> Result<(), String> {
-        let w = &mut self.list[wk];
-        let Some(gw) = w.gateways.iter_mut().find(|c| c.0 == conn) else {
+        let state = &mut self.list[worker];
+        let Some(gateway) = state.gateways.iter_mut().find(|c| c.0 == conn) else {
             return Ok(());
         };
-        let gw = match fields.kind()? {
+        let gateway = match fields.kind()? {
             kind::HELLO => {
                 wire::greeted(fields)?;
-                gw.1 = fields.whole(Field::Life)? as usize;
+                gateway.1 = fields.whole(Field::Life)? as usize;
                 let member = fields.upto(Field::Member, 2, 0)? as usize;
                 if member > 0 {
-                    w.members.push((conn, member));
+                    state.members.push((conn, member));
                 }
-                let age = if w.since > 0 {
-                    (g.net.now() - w.since).max(1)
+                let age = if state.started_at > 0 {
+                    (context.net.now() - state.started_at).max(1)
                 } else {
                     0
                 };
-                g.out.clear();
-                let f = Frame::new(&mut g.out, kind::HELLO).whole(Field::Version, wire::VERSION);
-                let f = f.text(Field::Role, "worker").text(Field::Name, &w.name);
-                f.whole(Field::Life, w.life).whole(Field::Age, age).end();
-                g.net.write(conn, &g.out);
+                context.buffer.clear();
+                let f = Frame::new(&mut context.buffer, kind::HELLO)
+                    .whole(Field::Version, wire::VERSION);
+                let f = f.text(Field::Role, "worker").text(Field::Name, &state.name);
+                f.whole(Field::Life, state.incarnation)
+                    .whole(Field::Age, age)
+                    .end();
+                context.net.write(conn, &context.buffer);
                 return Ok(());
             }
-            _ => gw.1,
+            _ => gateway.1,
         };
         match fields.kind()? {
-            kind::PREPARE | kind::ACCEPT => self.vote(g, wk, conn, fields),
+            kind::PREPARE | kind::ACCEPT => self.handle_vote(context, worker, conn, fields),
             kind::TICKET => {
                 // The time of the worker's own clock: only the worker interprets it.
-                let now = g.net.now();
-                if now >= self.list[wk].silent {
-                    g.out.clear();
-                    Frame::new(&mut g.out, kind::TICKET)
+                let now = context.net.now();
+                if now >= self.list[worker].silent_until {
+                    context.buffer.clear();
+                    Frame::new(&mut context.buffer, kind::TICKET)
                         .whole(Field::Ticket, now)
                         .end();
-                    g.net.write(conn, &g.out);
+                    context.net.write(conn, &context.buffer);
                 }
                 Ok(())
             }
-            kind::ACT => self.act(g, wk, conn, fields),
-            kind::LAUNCH => self.launch(g, wk, conn, gw, fields),
+            kind::ACT => self.handle_task_effect(context, worker, conn, fields),
+            kind::LAUNCH => self.launch(context, worker, conn, gateway, fields),
             kind::CANCEL => {
                 let id = fields.whole(Field::Id)?;
                 // A running attempt continues; a queued one is dropped.
-                let w = &mut self.list[wk];
-                let found = w
-                    .runs
+                let state = &mut self.list[worker];
+                let found = state
+                    .attempts
                     .iter()
                     .find(|r| r.1.id == id && r.1.conn == conn && !r.1.running);
                 if let Some(key) = found.map(|r| r.0) {
-                    let program = w.runs[key].program;
-                    w.copies
-                        .entry(program)
+                    let function = state.attempts[key].function;
+                    state
+                        .instances
+                        .entry(function)
                         .or_default()
                         .waiting
                         .retain(|k| *k != key);
-                    w.waiting -= 1;
-                    self.end(g, wk, key, "cancelled", 0);
+                    state.waiting -= 1;
+                    self.finish(context, worker, key, "cancelled", 0);
                 }
                 Ok(())
             }
             kind::HOLD => {
-                let (id, copies) = (fields.whole(Field::Id)?, fields.upto(Field::Copies, 16, 0)?);
+                let (id, wanted) = (fields.whole(Field::Id)?, fields.upto(Field::Copies, 16, 0)?);
                 let name = fields.text(Field::Function)?;
-                if !self.may(wk, conn, fields)? {
-                    self.held(g, wk, conn, id, "fenced", 0);
+                if !self.may_send(worker, conn, fields)? {
+                    self.answer_load_request(context, worker, conn, id, "fenced", 0);
                     return Ok(());
                 }
-                g.row(Row {
+                context.record_row(Row {
                     k: Kind::Ordered,
-                    gw,
-                    wk,
-                    copies,
+                    gw: gateway,
+                    wk: worker,
+                    copies: wanted,
                     ..Row::default()
                 });
-                let program = g.programs.iter().position(|p| p.name == name);
-                match program {
-                    Some(program) => self.hold(g, wk, conn, id, program, copies),
-                    None => self.held(g, wk, conn, id, "error", 0),
+                let function = context.functions.iter().position(|p| p.name == name);
+                match function {
+                    Some(function) => {
+                        self.handle_load_request(context, worker, conn, id, function, wanted)
+                    }
+                    None => self.answer_load_request(context, worker, conn, id, "error", 0),
                 }
                 Ok(())
             }
             kind::UNLOAD => {
                 let name = fields.text(Field::Function)?;
-                let program = g.programs.iter().position(|p| p.name == name);
-                if let Some(c) = program.and_then(|p| self.list[wk].copies.get_mut(&p)) {
-                    if c.running == 0 {
-                        c.standing = 0;
+                let function = context.functions.iter().position(|p| p.name == name);
+                if let Some(instances) =
+                    function.and_then(|p| self.list[worker].instances.get_mut(&p))
+                {
+                    if instances.running == 0 {
+                        instances.loaded = 0;
                     }
                 }
                 Ok(())
             }
             kind::PROBE => {
                 let id = fields.whole(Field::Id)?;
-                let (flight, busy) = self.report(g.net.now(), wk);
-                if g.net.now() >= self.list[wk].silent {
-                    g.out.clear();
-                    let f = Frame::new(&mut g.out, kind::PROBED).whole(Field::Id, id);
-                    self.told(f, flight, busy).end();
-                    g.net.write(conn, &g.out);
+                let (in_flight, busy) = self.load_report(context.net.now(), worker);
+                if context.net.now() >= self.list[worker].silent_until {
+                    context.buffer.clear();
+                    let f = Frame::new(&mut context.buffer, kind::PROBED).whole(Field::Id, id);
+                    self.with_load_report(f, in_flight, busy).end();
+                    context.net.write(conn, &context.buffer);
                 }
                 Ok(())
             }
@@ -351,60 +376,60 @@
     }
 
     /// Whether the sender may still send: it is no member of a failover pair, or its epoch is not fenced.
-    fn may(&self, wk: usize, conn: Conn, fields: &Fields) -> Result<bool, String> {
-        let w = &self.list[wk];
-        let member = w.members.iter().find(|m| m.0 == conn).map(|m| m.1);
+    fn may_send(&self, worker: usize, conn: Conn, fields: &Fields) -> Result<bool, String> {
+        let state = &self.list[worker];
+        let member = state.members.iter().find(|m| m.0 == conn).map(|m| m.1);
         let epoch = fields.upto(Field::Epoch, u64::MAX, 0)?;
-        Ok(!self.fences || member.is_none_or(|m| w.promise.permits(m - 1, epoch)))
+        Ok(!self.checks_epochs || member.is_none_or(|m| state.acceptor.permits(m - 1, epoch)))
     }
 
     /// Handles a prepare or accept of a failover pair, and replies with what is promised and accepted here.
-    fn vote<N: Net>(
+    fn handle_vote<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         conn: Conn,
         fields: &Fields,
     ) -> Result<(), String> {
         let (id, ballot) = (fields.whole(Field::Id)?, fields.whole(Field::Ballot)?);
         let whole = |field| fields.upto(field, u64::MAX, 0);
-        if self.forgets {
-            self.list[wk].promise = LeadershipAcceptor::default();
+        if self.forgets_votes {
+            self.list[worker].acceptor = LeadershipAcceptor::default();
         }
-        let promise = &mut self.list[wk].promise;
-        let good = if fields.kind()? == kind::PREPARE {
-            promise.prepare(ballot)
+        let acceptor = &mut self.list[worker].acceptor;
+        let accepted = if fields.kind()? == kind::PREPARE {
+            acceptor.prepare(ballot)
         } else {
-            promise.accept(Leadership {
+            acceptor.accept(Leadership {
                 epoch: whole(Field::Epoch)?,
                 member: fields.upto(Field::Member, 2, 1)?.max(1) as usize - 1,
                 synced_incarnations: [whole(Field::SyncA)?, whole(Field::SyncB)?],
                 fencing_floor: whole(Field::Floor)?,
             })
         };
-        let p = *promise;
-        if good && self.fences {
+        let p = *acceptor;
+        if accepted && self.checks_epochs {
             // A member that no longer serves loses its connections, and its attempts go unanswered.
-            let w = &self.list[wk];
-            let ends: Vec<Conn> = w
+            let state = &self.list[worker];
+            let fenced: Vec<Conn> = state
                 .members
                 .iter()
                 .filter(|m| p.must_abort(m.1 - 1))
                 .map(|m| m.0)
                 .collect();
-            for old in ends {
-                self.gateway_gone(g, wk, old);
-                g.own(old, Owner::Nobody);
-                g.net.reset(old);
+            for old in fenced {
+                self.gateway_disconnected(context, worker, old);
+                context.set_owner(old, Owner::Detached);
+                context.net.reset(old);
             }
         }
-        if g.net.now() < self.list[wk].silent {
+        if context.net.now() < self.list[worker].silent_until {
             return Ok(());
         }
-        g.out.clear();
-        let f = Frame::new(&mut g.out, kind::PROMISED)
+        context.buffer.clear();
+        let f = Frame::new(&mut context.buffer, kind::PROMISED)
             .whole(Field::Id, id)
-            .flag(Field::On, good);
+            .flag(Field::On, accepted);
         let f = f
             .whole(Field::Ballot, p.promised)
             .whole(Field::Epoch, p.accepted.epoch);
@@ -414,16 +439,16 @@
         f.whole(Field::SyncA, p.accepted.synced_incarnations[0])
             .whole(Field::SyncB, p.accepted.synced_incarnations[1])
             .end();
-        g.net.write(conn, &g.out);
+        context.net.write(conn, &context.buffer);
         Ok(())
     }
 
     /// Handles an effect of a fleet-wide task: it is carried out if its ticket is not expired and no newer
     /// epoch took effect here.
-    fn act<N: Net>(
+    fn handle_task_effect<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         conn: Conn,
         fields: &Fields,
     ) -> Result<(), String> {
@@ -432,38 +457,40 @@
             fields.whole(Field::Task)?,
             fields.whole(Field::Epoch)?,
         );
-        let (gw, life) = (
+        let (gateway, incarnation) = (
             fields.whole(Field::Member)? as usize,
             fields.whole(Field::Life)?,
         );
-        let now = g.net.now();
+        let now = context.net.now();
         let ticket = fields.whole(Field::Ticket)?;
-        if fields.whole(Field::Check)? != checksum(&[id, task, epoch, gw as u64, life, ticket]) {
+        if fields.whole(Field::Check)?
+            != checksum(&[id, task, epoch, gateway as u64, incarnation, ticket])
+        {
             return Err("field check: the act was changed on its way".to_string());
         }
         // A ticket with a time in the future was never issued.
-        let late = ticket > now || now > ticket.saturating_add(self.ticket);
-        let seen = self.list[wk].epochs.get(&task).copied().unwrap_or(0);
-        let older = self.task_epochs && epoch < seen;
+        let late = ticket > now || now > ticket.saturating_add(self.max_ticket_age);
+        let seen = self.list[worker].epochs.get(&task).copied().unwrap_or(0);
+        let older = self.checks_task_epochs && epoch < seen;
         let done = !late && !older;
         if done {
-            self.list[wk].epochs.insert(task, epoch.max(seen));
+            self.list[worker].epochs.insert(task, epoch.max(seen));
         }
         if !late {
-            g.row(Row {
+            context.record_row(Row {
                 k: Kind::Acted,
-                gw,
-                wk,
+                gw: gateway,
+                wk: worker,
                 task,
                 epoch,
-                life,
+                life: incarnation,
                 on: done,
                 ..Row::default()
             });
         }
-        if now >= self.list[wk].silent {
-            g.out.clear();
-            let f = Frame::new(&mut g.out, kind::ACTED).whole(Field::Id, id);
+        if now >= self.list[worker].silent_until {
+            context.buffer.clear();
+            let f = Frame::new(&mut context.buffer, kind::ACTED).whole(Field::Id, id);
             let outcome = match (late, older) {
                 (true, _) => "late",
                 (_, true) => "older",
@@ -472,44 +499,48 @@
             f.text(Field::Outcome, outcome)
                 .whole(Field::Epoch, seen)
                 .end();
-            g.net.write(conn, &g.out);
+            context.net.write(conn, &context.buffer);
         }
         Ok(())
     }
 
-    fn told<'a>(&self, f: Frame<'a>, flight: f64, busy: f64) -> Frame<'a> {
-        let f = if self.in_flight {
-            f.real(Field::InFlight, flight)
+    fn with_load_report<'a>(&self, f: Frame<'a>, in_flight: f64, busy: f64) -> Frame<'a> {
+        let f = if self.report_in_flight {
+            f.real(Field::InFlight, in_flight)
         } else {
             f
         };
-        if self.busy {
+        if self.report_busy {
             f.real(Field::Busy, busy)
         } else {
             f
         }
     }
 
-    fn report(&mut self, now: Time, wk: usize) -> (f64, f64) {
-        let w = &mut self.list[wk];
+    fn load_report(&mut self, now: Time, worker: usize) -> (f64, f64) {
+        let state = &mut self.list[worker];
         let fresh = (
-            f64::from(w.busy) + w.waiting as f64,
-            (f64::from(w.busy) / w.cores).min(1.0),
+            f64::from(state.busy_lanes) + state.waiting as f64,
+            (f64::from(state.busy_lanes) / state.cores).min(1.0),
         );
-        w.reports.push_back((now, fresh.0, fresh.1));
-        while w.reports.get(1).is_some_and(|r| r.0 + LATE_REPORT < now) {
-            w.reports.pop_front();
+        state.reports.push_back((now, fresh.0, fresh.1));
+        while state
+            .reports
+            .get(1)
+            .is_some_and(|r| r.0 + STALE_REPORT_AGE < now)
+        {
+            state.reports.pop_front();
         }
-        if w.late_reports {
-            w.reports.front().map_or(fresh, |r| (r.1, r.2))
+        if state.stale_reports {
+            state.reports.front().map_or(fresh, |r| (r.1, r.2))
         } else {
             fresh
         }
     }
 
-    fn part(&self, w: &Worker, now: Time) -> f64 {
-        let (age, (cold, from)) = (now - w.since, self.cold);
-        if w.since == 0 || age >= cold {
+    fn capacity_share(&self, state: &Worker, now: Time) -> f64 {
+        let (age, (cold, from)) = (now - state.started_at, self.slow_start);
+        if state.started_at == 0 || age >= cold {
             1.0
         } else {
             from + (1.0 - from) * age as f64 / cold as f64
@@ -518,361 +549,417 @@
 
     fn launch<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         conn: Conn,
-        gw: usize,
+        gateway: usize,
         fields: &Fields,
     ) -> Result<(), String> {
-        let now = g.net.now();
-        let (id, evt) = (fields.whole(Field::Id)?, fields.whole(Field::Event)?);
+        let now = context.net.now();
+        let (id, request_id) = (fields.whole(Field::Id)?, fields.whole(Field::Event)?);
         let name = fields.text(Field::Function)?;
-        let mark = fields.bytes(Field::Mark)?;
+        let idempotency_key = fields.bytes(Field::Mark)?;
         // The emulated clients put the real amount of work in the payload; a gateway knows only the hint.
         let payload = fields.bytes(Field::Payload)?;
-        let Some(program) = g.programs.iter().position(|p| p.name == name) else {
+        let Some(function) = context.functions.iter().position(|p| p.name == name) else {
             return Err(format!(
                 "field function: '{name}' is no program of this fleet"
             ));
         };
-        let told = payload
+        let payload_work = payload
             .first_chunk::<4>()
             .map(|b| f64::from(u32::from_be_bytes(*b)));
-        let work = told.unwrap_or(g.programs[program].work);
-        let mark = mark
+        let work = payload_work.unwrap_or(context.functions[function].work);
+        let idempotency_key = idempotency_key
             .first_chunk::<8>()
             .map_or(0, |b| u64::from_be_bytes(*b));
-        let typ = g.programs[program].typ;
-        if !self.may(wk, conn, fields)? {
+        let request_type = context.functions[function].request_type;
+        if !self.may_send(worker, conn, fields)? {
             // A fenced attempt is not recorded as launched, because it is never executed.
-            self.refused += 1;
-            g.out.clear();
-            let f = Frame::new(&mut g.out, kind::END).whole(Field::Id, id);
+            self.fenced += 1;
+            context.buffer.clear();
+            let f = Frame::new(&mut context.buffer, kind::END).whole(Field::Id, id);
             f.text(Field::Outcome, "fenced").end();
-            g.net.write(conn, &g.out);
+            context.net.write(conn, &context.buffer);
             return Ok(());
         }
-        g.row(Row {
+        context.record_row(Row {
             k: Kind::Launched,
-            gw,
-            wk,
-            evt,
-            typ,
+            gw: gateway,
+            wk: worker,
+            evt: request_id,
+            typ: request_type,
             work,
             ..Row::default()
         });
-        self.push(g, wk, work);
-        if !self.list[wk].up {
+        self.add_work(context, worker, work);
+        if !self.list[worker].up {
             return Ok(()); // this attempt overloaded it
         }
-        let w = &mut self.list[wk];
-        let c = w.copies.entry(program).or_default();
-        let company = u64::from(c.running) + c.waiting.len() as u64;
-        let run = Run {
+        let state = &mut self.list[worker];
+        let instances = state.instances.entry(function).or_default();
+        let concurrent_attempts = u64::from(instances.running) + instances.waiting.len() as u64;
+        let attempt = Attempt {
             conn,
             id,
-            evt,
-            program,
+            request_id,
+            function,
             work,
-            mark,
-            came: now,
+            idempotency_key,
+            arrived_at: now,
             running: false,
-            copy: if c.standing > 0 { 1 } else { 3 },
-            company,
+            instance_state: if instances.loaded > 0 { 1 } else { 3 },
+            concurrent_attempts,
             deadline: None,
         };
-        let (none, full) = (c.standing + c.loading == 0, w.waiting >= w.queue);
-        let key = w.runs.insert(run);
-        let window = self.windows[typ];
-        let hall = if self.alls[typ] { 0 } else { w.zone };
-        let known = self.marks[hall].get(&mark).copied();
-        if w.draining || full {
-            self.end(g, wk, key, "full", 0);
-        } else if mark > 0 && known.is_some_and(|first| now < first + window) {
+        let (no_instance, full) = (
+            instances.loaded + instances.loading == 0,
+            state.waiting >= state.max_queued,
+        );
+        let key = state.attempts.insert(attempt);
+        let window = self.windows[request_type];
+        let scope = if self.all_zones[request_type] {
+            0
+        } else {
+            state.zone
+        };
+        let known = self.known_keys[scope].get(&idempotency_key).copied();
+        if state.draining || full {
+            self.finish(context, worker, key, "full", 0);
+        } else if idempotency_key > 0 && known.is_some_and(|first| now < first + window) {
             // A repeat: its idempotency key is known in the scope, so it has had its effect already.
-            self.dropped += 1;
-            self.end(g, wk, key, "ok", 1);
-        } else if none && self.miss {
+            self.repeats += 1;
+            self.finish(context, worker, key, "ok", 1);
+        } else if no_instance && self.reports_misses {
             self.misses += 1;
-            self.end(g, wk, key, "miss", 0);
+            self.finish(context, worker, key, "miss", 0);
         } else {
-            w.waiting += 1;
-            w.copies.entry(program).or_default().waiting.push_back(key);
-            if none {
-                self.load(g, wk, program);
+            state.waiting += 1;
+            state
+                .instances
+                .entry(function)
+                .or_default()
+                .waiting
+                .push_back(key);
+            if no_instance {
+                self.start_load(context, worker, function);
             }
-            self.go_on(g, wk, program);
+            self.run_queued(context, worker, function);
         }
         Ok(())
     }
 
     /// Adds an attempt's work to the recent work of the worker. A worker in slow start falls over if the work
     /// within the window exceeds a multiple of what it can do in that time.
-    fn push<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, work: f64) {
-        let now = g.net.now();
-        let part = self.part(&self.list[wk], now);
-        let (window, multiple) = self.fall;
-        let w = &mut self.list[wk];
-        w.pushed.push_back((now, work));
-        while w.pushed.front().is_some_and(|p| p.0 + window < now) {
-            w.pushed.pop_front();
+    fn add_work<N: Net>(&mut self, context: &mut Context<N>, worker: usize, work: f64) {
+        let now = context.net.now();
+        let share = self.capacity_share(&self.list[worker], now);
+        let (window, multiple) = self.overload;
+        let state = &mut self.list[worker];
+        state.recent_work.push_back((now, work));
+        while state
+            .recent_work
+            .front()
+            .is_some_and(|p| p.0 + window < now)
+        {
+            state.recent_work.pop_front();
         }
-        let sum: f64 = w.pushed.iter().map(|p| p.1).sum();
-        if part < 1.0 && sum > multiple * part * w.cores * w.speed * window as f64 {
-            g.row(Row {
+        let sum: f64 = state.recent_work.iter().map(|p| p.1).sum();
+        if share < 1.0 && sum > multiple * share * state.cores * state.speed * window as f64 {
+            context.record_row(Row {
                 k: Kind::Fell,
-                wk,
+                wk: worker,
                 ..Row::default()
             });
-            w.fallen = true;
-            self.fell.push(wk);
-            self.kill(g, wk);
+            state.fell_over = true;
+            self.unreported_falls.push(worker);
+            self.kill(context, worker);
         }
     }
 
     /// Runs queued attempts while a lane of a loaded instance is free.
-    fn go_on<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, program: usize) {
+    fn run_queued<N: Net>(&mut self, context: &mut Context<N>, worker: usize, function: usize) {
         loop {
-            let now = g.net.now();
-            let part = self.part(&self.list[wk], now);
-            let w = &mut self.list[wk];
-            let c = w.copies.entry(program).or_default();
-            if u64::from(c.running) >= c.standing * u64::from(g.programs[program].lanes) {
+            let now = context.net.now();
+            let share = self.capacity_share(&self.list[worker], now);
+            let state = &mut self.list[worker];
+            let instances = state.instances.entry(function).or_default();
+            if u64::from(instances.running)
+                >= instances.loaded * u64::from(context.functions[function].lanes)
+            {
                 return;
             }
-            let Some(key) = c.waiting.pop_front() else {
+            let Some(key) = instances.waiting.pop_front() else {
                 return;
             };
-            let typ = g.programs[program].typ;
-            let (mark, hall) = (w.runs[key].mark, if self.alls[typ] { 0 } else { w.zone });
-            let first = self.marks[hall].get(&mark).copied().filter(|_| mark > 0);
-            if first.is_some_and(|first| now < first + self.windows[typ]) {
+            let request_type = context.functions[function].request_type;
+            let (idempotency_key, scope) = (
+                state.attempts[key].idempotency_key,
+                if self.all_zones[request_type] {
+                    0
+                } else {
+                    state.zone
+                },
+            );
+            let first = self.known_keys[scope]
+                .get(&idempotency_key)
+                .copied()
+                .filter(|_| idempotency_key > 0);
+            if first.is_some_and(|first| now < first + self.windows[request_type]) {
                 // Two attempts with the same idempotency key were queued, and the first one ran.
-                w.waiting -= 1;
-                self.dropped += 1;
-                self.end(g, wk, key, "ok", 1);
+                state.waiting -= 1;
+                self.repeats += 1;
+                self.finish(context, worker, key, "ok", 1);
                 continue;
             }
-            c.running += 1;
-            w.busy += 1;
-            w.waiting -= 1;
-            let crowd = (f64::from(w.busy) / w.cores).max(1.0);
-            let run = &mut w.runs[key];
-            let takes = (run.work / w.speed * w.slow * crowd / part).ceil() as Time;
-            run.running = true;
-            run.deadline = Some(
-                g.net
-                    .set_timer(now + takes, of::RUN | (wk as u64) << 32 | key as u64),
-            );
-            if run.mark > 0 {
-                self.marks[hall].insert(run.mark, now);
+            instances.running += 1;
+            state.busy_lanes += 1;
+            state.waiting -= 1;
+            let contention = (f64::from(state.busy_lanes) / state.cores).max(1.0);
+            let attempt = &mut state.attempts[key];
+            let duration =
+                (attempt.work / state.speed * state.slowdown * contention / share).ceil() as Time;
+            attempt.running = true;
+            attempt.deadline = Some(context.net.set_timer(
+                now + duration,
+                timer_kind::ATTEMPT_DONE | (worker as u64) << 32 | key as u64,
+            ));
+            if attempt.idempotency_key > 0 {
+                self.known_keys[scope].insert(attempt.idempotency_key, now);
             }
         }
     }
 
     /// A running attempt has finished, unless the worker hangs.
-    pub fn ran<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, key: usize) {
-        let w = &mut self.list[wk];
-        if g.net.now() < w.hung {
-            let again = g
-                .net
-                .set_timer(w.hung, of::RUN | (wk as u64) << 32 | key as u64);
-            w.runs[key].deadline = Some(again);
+    pub fn attempt_done<N: Net>(&mut self, context: &mut Context<N>, worker: usize, key: usize) {
+        let state = &mut self.list[worker];
+        if context.net.now() < state.hung_until {
+            let again = context.net.set_timer(
+                state.hung_until,
+                timer_kind::ATTEMPT_DONE | (worker as u64) << 32 | key as u64,
+            );
+            state.attempts[key].deadline = Some(again);
             return;
         }
-        let Run {
-            evt, program, copy, ..
-        } = w.runs[key];
-        w.runs[key].deadline = None;
-        w.busy -= 1;
-        let c = w.copies.entry(program).or_default();
-        c.running -= 1;
-        c.idle_since = g.net.now();
-        let typ = g.programs[program].typ;
-        g.row(Row {
+        let Attempt {
+            request_id,
+            function,
+            instance_state,
+            ..
+        } = state.attempts[key];
+        state.attempts[key].deadline = None;
+        state.busy_lanes -= 1;
+        let instances = state.instances.entry(function).or_default();
+        instances.running -= 1;
+        instances.idle_since = context.net.now();
+        let request_type = context.functions[function].request_type;
+        context.record_row(Row {
             k: Kind::Ran,
-            wk,
-            evt,
-            typ,
+            wk: worker,
+            evt: request_id,
+            typ: request_type,
             ..Row::default()
         });
-        self.end(g, wk, key, "ok", copy);
-        self.go_on(g, wk, program);
+        self.finish(context, worker, key, "ok", instance_state);
+        self.run_queued(context, worker, function);
     }
 
     /// Removes an attempt and sends its one response, unless the gateway is gone or the worker is silent.
-    fn end<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, key: usize, outcome: &str, copy: u64) {
-        let now = g.net.now();
-        let (flight, busy) = self.report(now, wk);
-        let w = &mut self.list[wk];
-        let run = w.runs.remove(key);
-        let here = w.gateways.iter().any(|c| c.0 == run.conn);
-        if here && now < w.silent {
+    fn finish<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        worker: usize,
+        key: usize,
+        outcome: &str,
+        instance_state: u64,
+    ) {
+        let now = context.net.now();
+        let (in_flight, busy) = self.load_report(now, worker);
+        let state = &mut self.list[worker];
+        let attempt = state.attempts.remove(key);
+        let connected = state.gateways.iter().any(|c| c.0 == attempt.conn);
+        if connected && now < state.silent_until {
             // To the gateway the attempt is in flight until the connection is gone.
-            w.swallowed.push((run.conn, run.evt));
+            state.unsent_ends.push((attempt.conn, attempt.request_id));
         }
-        if !here || now < w.silent {
+        if !connected || now < state.silent_until {
             return;
         }
         let proven = matches!(outcome, "full" | "miss");
-        g.row(Row {
+        context.record_row(Row {
             k: Kind::Ended,
-            wk,
-            evt: run.evt,
+            wk: worker,
+            evt: attempt.request_id,
             proven,
             ..Row::default()
         });
-        g.out.clear();
-        let f = Frame::new(&mut g.out, kind::END)
-            .whole(Field::Id, run.id)
+        context.buffer.clear();
+        let f = Frame::new(&mut context.buffer, kind::END)
+            .whole(Field::Id, attempt.id)
             .text(Field::Outcome, outcome);
         let f = f
-            .whole(Field::Took, now - run.came)
-            .whole(Field::Copy, copy);
-        let f = f.whole(Field::Company, run.company.min(30));
-        let f = if self.with_answers {
-            self.told(f, flight, busy)
+            .whole(Field::Took, now - attempt.arrived_at)
+            .whole(Field::Copy, instance_state);
+        let f = f.whole(Field::Company, attempt.concurrent_attempts.min(30));
+        let f = if self.report_with_responses {
+            self.with_load_report(f, in_flight, busy)
         } else {
             f
         };
-        f.bytes(Field::Payload, &run.evt.to_be_bytes()).end();
-        g.net.write(run.conn, &g.out);
+        f.bytes(Field::Payload, &attempt.request_id.to_be_bytes())
+            .end();
+        context.net.write(attempt.conn, &context.buffer);
     }
 
-    fn hold<N: Net>(
+    fn handle_load_request<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         conn: Conn,
         id: u64,
-        program: usize,
-        copies: u64,
+        function: usize,
+        wanted: u64,
     ) {
-        let now = g.net.now();
-        let w = &mut self.list[wk];
-        let c = w.copies.entry(program).or_default();
-        c.idle_since = now;
-        if c.standing >= copies {
-            let standing = c.standing;
-            return self.held(g, wk, conn, id, "ok", standing);
+        let now = context.net.now();
+        let state = &mut self.list[worker];
+        let instances = state.instances.entry(function).or_default();
+        instances.idle_since = now;
+        if instances.loaded >= wanted {
+            let loaded = instances.loaded;
+            return self.answer_load_request(context, worker, conn, id, "ok", loaded);
         }
-        if w.draining {
-            return self.held(g, wk, conn, id, "full", 0);
+        if state.draining {
+            return self.answer_load_request(context, worker, conn, id, "full", 0);
         }
-        let missing = copies.saturating_sub(c.standing + c.loading);
+        let missing = wanted.saturating_sub(instances.loaded + instances.loading);
         for _ in 0..missing {
-            if !self.load(g, wk, program) {
-                let standing = self.list[wk].copies[&program].standing;
-                return self.held(g, wk, conn, id, "full", standing);
+            if !self.start_load(context, worker, function) {
+                let loaded = self.list[worker].instances[&function].loaded;
+                return self.answer_load_request(context, worker, conn, id, "full", loaded);
             }
         }
-        self.list[wk]
-            .copies
-            .entry(program)
+        self.list[worker]
+            .instances
+            .entry(function)
             .or_default()
-            .orders
-            .push((conn, id, copies));
+            .load_requests
+            .push((conn, id, wanted));
     }
 
-    fn held<N: Net>(
+    fn answer_load_request<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         conn: Conn,
         id: u64,
         outcome: &str,
-        copies: u64,
+        loaded: u64,
     ) {
-        let w = &self.list[wk];
-        if g.net.now() < w.silent || !w.gateways.iter().any(|c| c.0 == conn) {
+        let state = &self.list[worker];
+        if context.net.now() < state.silent_until || !state.gateways.iter().any(|c| c.0 == conn) {
             return;
         }
-        g.out.clear();
-        let f = Frame::new(&mut g.out, kind::HELD)
+        context.buffer.clear();
+        let f = Frame::new(&mut context.buffer, kind::HELD)
             .whole(Field::Id, id)
             .text(Field::Outcome, outcome);
-        f.whole(Field::Copies, copies).end();
-        g.net.write(conn, &g.out);
+        f.whole(Field::Copies, loaded).end();
+        context.net.write(conn, &context.buffer);
     }
 
     /// Starts one load, unloading idle instances of other functions for it, least recently used first.
     /// Returns false if there is no memory for it, or too many loads are in progress.
-    fn load<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, program: usize) -> bool {
-        let w = &mut self.list[wk];
-        if w.loads.len() >= w.most_loads {
+    fn start_load<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        worker: usize,
+        function: usize,
+    ) -> bool {
+        let state = &mut self.list[worker];
+        if state.loads.len() >= state.max_loads {
             return false;
         }
-        let needs = g.programs[program].memory;
+        let needs = context.functions[function].memory;
         loop {
-            let used = |c: (&usize, &Copies)| {
-                (c.1.standing + c.1.loading) as f64 * g.programs[*c.0].memory
+            let used = |c: (&usize, &Instances)| {
+                (c.1.loaded + c.1.loading) as f64 * context.functions[*c.0].memory
             };
-            if w.copies.iter().map(used).sum::<f64>() + needs <= w.memory {
+            if state.instances.iter().map(used).sum::<f64>() + needs <= state.memory {
                 break;
             }
-            let idle = |c: &(&usize, &mut Copies)| {
-                *c.0 != program && c.1.standing > 0 && c.1.running == 0 && c.1.waiting.is_empty()
+            let idle = |c: &(&usize, &mut Instances)| {
+                *c.0 != function && c.1.loaded > 0 && c.1.running == 0 && c.1.waiting.is_empty()
             };
-            let Some(oldest) = w
-                .copies
+            let Some(oldest) = state
+                .instances
                 .iter_mut()
                 .filter(idle)
                 .min_by_key(|c| c.1.idle_since)
             else {
                 return false;
             };
-            oldest.1.standing = 0;
+            oldest.1.loaded = 0;
         }
-        w.copies.entry(program).or_default().loading += 1;
-        let key = w.loads.insert(program);
+        state.instances.entry(function).or_default().loading += 1;
+        let key = state.loads.insert(function);
         self.loads += 1;
-        if w.depot.is_none() {
-            let conn = g.net.connect(self.depot, 10_000);
-            g.own(conn, Owner::Fetcher(wk));
-            (w.depot, w.depot_up) = (Some(conn), false);
+        if state.artifact_store.is_none() {
+            let conn = context.net.connect(self.artifact_store_address, 10_000);
+            context.set_owner(conn, Owner::Fetcher(worker));
+            (state.artifact_store, state.artifact_store_ready) = (Some(conn), false);
         }
-        if w.depot_up {
-            Workers::fetch(g, w, key);
+        if state.artifact_store_ready {
+            Workers::send_fetch(context, state, key);
         }
         true
     }
 
-    fn fetch<N: Net>(g: &mut Ground<N>, w: &Worker, key: usize) {
-        let program = &g.programs[w.loads[key]];
-        g.out.clear();
-        let f = Frame::new(&mut g.out, kind::FETCH).whole(Field::Id, key as u64 | w.life << 32);
-        f.text(Field::Function, &program.name)
-            .whole(Field::LoadHint, program.fetch)
+    fn send_fetch<N: Net>(context: &mut Context<N>, state: &Worker, key: usize) {
+        let function = &context.functions[state.loads[key]];
+        context.buffer.clear();
+        let f = Frame::new(&mut context.buffer, kind::FETCH)
+            .whole(Field::Id, key as u64 | state.incarnation << 32);
+        f.text(Field::Function, &function.name)
+            .whole(Field::LoadHint, function.fetch_time)
             .end();
-        if let Some(conn) = w.depot {
-            g.net.write(conn, &g.out);
+        if let Some(conn) = state.artifact_store {
+            context.net.write(conn, &context.buffer);
         }
     }
 
-    pub fn depot_there<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
-        let w = &mut self.list[wk];
-        w.depot_up = true;
-        g.out.clear();
-        wire::hello(&mut g.out, "worker", &w.name, w.life);
-        if let Some(conn) = w.depot {
-            g.net.write(conn, &g.out);
+    pub fn artifact_store_connected<N: Net>(&mut self, context: &mut Context<N>, worker: usize) {
+        let state = &mut self.list[worker];
+        state.artifact_store_ready = true;
+        context.buffer.clear();
+        wire::hello(
+            &mut context.buffer,
+            "worker",
+            &state.name,
+            state.incarnation,
+        );
+        if let Some(conn) = state.artifact_store {
+            context.net.write(conn, &context.buffer);
         }
-        let keys: Vec<usize> = w.loads.iter().map(|l| l.0).collect();
+        let keys: Vec<usize> = state.loads.iter().map(|l| l.0).collect();
         keys.into_iter()
-            .for_each(|key| Workers::fetch(g, &self.list[wk], key));
+            .for_each(|key| Workers::send_fetch(context, &self.list[worker], key));
     }
 
-    pub fn depot_gone<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
-        (self.list[wk].depot, self.list[wk].depot_up) = (None, false);
-        let keys: Vec<usize> = self.list[wk].loads.iter().map(|l| l.0).collect();
-        keys.into_iter().for_each(|key| self.failed(g, wk, key));
+    pub fn artifact_store_disconnected<N: Net>(&mut self, context: &mut Context<N>, worker: usize) {
+        (
+            self.list[worker].artifact_store,
+            self.list[worker].artifact_store_ready,
+        ) = (None, false);
+        let keys: Vec<usize> = self.list[worker].loads.iter().map(|l| l.0).collect();
+        keys.into_iter()
+            .for_each(|key| self.load_failed(context, worker, key));
     }
 
     /// Handles the artifact store's response to a fetch.
-    pub fn fetched<N: Net>(
+    pub fn handle_fetch_response<N: Net>(
         &mut self,
-        g: &mut Ground<N>,
-        wk: usize,
+        context: &mut Context<N>,
+        worker: usize,
         fields: &Fields,
     ) -> Result<(), String> {
         if fields.kind()? != kind::FETCHED {
@@ -882,108 +969,127 @@
             fields.whole(Field::Id)?,
             fields.text(Field::Outcome)? == "ok",
         );
-        let w = &self.list[wk];
+        let state = &self.list[worker];
         let key = (id & 0xffff_ffff) as usize;
-        if id >> 32 != w.life || !w.loads.contains(key) {
+        if id >> 32 != state.incarnation || !state.loads.contains(key) {
             return Ok(());
         }
         if ok {
-            let takes = (g.programs[w.loads[key]].start as f64 * w.slow) as Time;
-            let now = g.net.now().max(w.hung);
-            g.net.set_timer(
-                now + takes,
-                of::START | (wk as u64) << 32 | key as u64 | (w.life & 0xffff) << 16,
+            let duration =
+                (context.functions[state.loads[key]].start_time as f64 * state.slowdown) as Time;
+            let now = context.net.now().max(state.hung_until);
+            context.net.set_timer(
+                now + duration,
+                timer_kind::INSTANCE_LOADED
+                    | (worker as u64) << 32
+                    | key as u64
+                    | (state.incarnation & 0xffff) << 16,
             );
         } else {
-            self.failed(g, wk, key);
+            self.load_failed(context, worker, key);
         }
         Ok(())
     }
 
     /// A load failed. If no other instance is loaded or loading, the attempts that waited end as misses,
     /// never run.
-    fn failed<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, key: usize) {
-        let w = &mut self.list[wk];
-        let program = w.loads.remove(key);
-        let c = w.copies.entry(program).or_default();
-        c.loading -= 1;
-        let standing = c.standing;
-        let orders = std::mem::take(&mut c.orders);
-        let waiting = if standing + c.loading == 0 {
-            std::mem::take(&mut c.waiting)
+    fn load_failed<N: Net>(&mut self, context: &mut Context<N>, worker: usize, key: usize) {
+        let state = &mut self.list[worker];
+        let function = state.loads.remove(key);
+        let instances = state.instances.entry(function).or_default();
+        instances.loading -= 1;
+        let loaded = instances.loaded;
+        let load_requests = std::mem::take(&mut instances.load_requests);
+        let waiting = if loaded + instances.loading == 0 {
+            std::mem::take(&mut instances.waiting)
         } else {
             VecDeque::new()
         };
-        w.waiting -= waiting.len();
-        orders
-            .into_iter()
-            .for_each(|(conn, id, _)| self.held(g, wk, conn, id, "error", standing));
+        state.waiting -= waiting.len();
+        load_requests.into_iter().for_each(|(conn, id, _)| {
+            self.answer_load_request(context, worker, conn, id, "error", loaded)
+        });
         waiting
             .into_iter()
-            .for_each(|run| self.end(g, wk, run, "miss", 4));
+            .for_each(|attempt| self.finish(context, worker, attempt, "miss", 4));
     }
 
     /// A load is complete: the instance can run attempts.
-    pub fn loaded<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, rest: usize) {
-        let (key, life) = (rest & 0xffff, (rest >> 16) as u64);
-        let now = g.net.now();
-        let w = &mut self.list[wk];
-        if !w.up || life != w.life & 0xffff || !w.loads.contains(key) {
+    pub fn load_done<N: Net>(&mut self, context: &mut Context<N>, worker: usize, rest: usize) {
+        let (key, incarnation) = (rest & 0xffff, (rest >> 16) as u64);
+        let now = context.net.now();
+        let state = &mut self.list[worker];
+        if !state.up || incarnation != state.incarnation & 0xffff || !state.loads.contains(key) {
             return;
         }
-        let program = w.loads.remove(key);
-        let c = w.copies.entry(program).or_default();
-        c.loading -= 1;
-        c.standing += 1;
-        c.idle_since = now;
-        let standing = c.standing;
-        let (ready, wait) = std::mem::take(&mut c.orders)
+        let function = state.loads.remove(key);
+        let instances = state.instances.entry(function).or_default();
+        instances.loading -= 1;
+        instances.loaded += 1;
+        instances.idle_since = now;
+        let loaded = instances.loaded;
+        let (ready, pending) = std::mem::take(&mut instances.load_requests)
             .into_iter()
-            .partition(|o| o.2 <= standing);
-        c.orders = wait;
+            .partition(|o| o.2 <= loaded);
+        instances.load_requests = pending;
         let ready: Vec<(Conn, u64, u64)> = ready;
-        ready
-            .into_iter()
-            .for_each(|(conn, id, _)| self.held(g, wk, conn, id, "ok", standing));
-        self.go_on(g, wk, program);
+        ready.into_iter().for_each(|(conn, id, _)| {
+            self.answer_load_request(context, worker, conn, id, "ok", loaded)
+        });
+        self.run_queued(context, worker, function);
     }
 
-    pub fn idle<N: Net>(&mut self, g: &mut Ground<N>) {
-        let now = g.net.now();
-        g.net.set_timer(now + IDLE, of::IDLE);
-        for w in &mut self.list {
-            for c in w.copies.values_mut() {
+    pub fn unload_idle<N: Net>(&mut self, context: &mut Context<N>) {
+        let now = context.net.now();
+        context
+            .net
+            .set_timer(now + IDLE_CHECK_INTERVAL, timer_kind::UNLOAD_IDLE);
+        for state in &mut self.list {
+            for instances in state.instances.values_mut() {
                 // Longer by one interval than `stays_loaded_ms`, the minimum that the settings state.
-                if c.running == 0 && c.waiting.is_empty() && now > c.idle_since + self.stays + IDLE
+                if instances.running == 0
+                    && instances.waiting.is_empty()
+                    && now > instances.idle_since + self.keep_loaded + IDLE_CHECK_INTERVAL
                 {
-                    c.standing = 0;
+                    instances.loaded = 0;
                 }
             }
         }
         let longest = self.windows.iter().max().copied().unwrap_or(0);
-        self.marks
+        self.known_keys
             .iter_mut()
             .for_each(|m| m.retain(|_, first| now < *first + longest));
     }
 
     /// A gateway's connection is gone: its running attempts continue, but send no response.
-    pub fn gateway_gone<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, conn: Conn) {
-        let w = &mut self.list[wk];
-        w.gateways.retain(|c| c.0 != conn);
-        w.members.retain(|c| c.0 != conn);
-        let mut out: Vec<u64> = w
-            .runs
+    pub fn gateway_disconnected<N: Net>(
+        &mut self,
+        context: &mut Context<N>,
+        worker: usize,
+        conn: Conn,
+    ) {
+        let state = &mut self.list[worker];
+        state.gateways.retain(|c| c.0 != conn);
+        state.members.retain(|c| c.0 != conn);
+        let mut unfinished: Vec<u64> = state
+            .attempts
             .iter()
             .filter(|r| r.1.conn == conn)
-            .map(|r| r.1.evt)
+            .map(|r| r.1.request_id)
             .collect();
-        out.extend(w.swallowed.iter().filter(|s| s.0 == conn).map(|s| s.1));
-        w.swallowed.retain(|s| s.0 != conn);
-        out.into_iter().for_each(|evt| {
-            g.row(Row {
+        unfinished.extend(
+            state
+                .unsent_ends
+                .iter()
+                .filter(|s| s.0 == conn)
+                .map(|s| s.1),
+        );
+        state.unsent_ends.retain(|s| s.0 != conn);
+        unfinished.into_iter().for_each(|request_id| {
+            context.record_row(Row {
                 k: Kind::Cut,
-                wk,
-                evt,
+                wk: worker,
+                evt: request_id,
                 ..Row::default()
             })
         });
@@ -991,65 +1097,80 @@
 
     /// Closes all sockets without notice and discards instances, attempts and loads, as a killed process
     /// does.
-    pub fn kill<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
-        let conns: Vec<(Conn, usize)> = self.list[wk].gateways.iter().map(|c| (c.0, c.1)).collect();
-        for (conn, gw) in conns {
-            if gw != usize::MAX {
-                g.row(Row {
+    pub fn kill<N: Net>(&mut self, context: &mut Context<N>, worker: usize) {
+        let conns: Vec<(Conn, usize)> = self.list[worker]
+            .gateways
+            .iter()
+            .map(|c| (c.0, c.1))
+            .collect();
+        for (conn, gateway) in conns {
+            if gateway != usize::MAX {
+                context.record_row(Row {
                     k: Kind::Lost,
-                    gw,
-                    wk,
+                    gw: gateway,
+                    wk: worker,
                     ..Row::default()
                 });
             }
-            self.gateway_gone(g, wk, conn);
-            g.own(conn, Owner::Nobody);
-            g.net.reset(conn);
+            self.gateway_disconnected(context, worker, conn);
+            context.set_owner(conn, Owner::Detached);
+            context.net.reset(conn);
         }
-        let w = &mut self.list[wk];
-        if let Some(listener) = w.listener.take() {
-            g.net.stop_listening(listener);
+        let state = &mut self.list[worker];
+        if let Some(listener) = state.listener.take() {
+            context.net.stop_listening(listener);
         }
-        if let Some(conn) = w.depot.take() {
-            g.own(conn, Owner::Nobody);
-            g.net.reset(conn);
+        if let Some(conn) = state.artifact_store.take() {
+            context.set_owner(conn, Owner::Detached);
+            context.net.reset(conn);
         }
-        for (_, run) in &w.runs {
-            if let Some(d) = run.deadline {
-                g.net.cancel_timer(d);
+        for (_, attempt) in &state.attempts {
+            if let Some(d) = attempt.deadline {
+                context.net.cancel_timer(d);
             }
             // An attempt that was still running had no effect, so its idempotency key is forgotten.
-            if run.mark > 0 && run.running {
-                let hall = if self.alls[g.programs[run.program].typ] {
+            if attempt.idempotency_key > 0 && attempt.running {
+                let scope = if self.all_zones[context.functions[attempt.function].request_type] {
                     0
                 } else {
-                    w.zone
+                    state.zone
                 };
-                self.marks[hall].remove(&run.mark);
+                self.known_keys[scope].remove(&attempt.idempotency_key);
             }
         }
-        w.runs.clear();
-        w.copies.clear();
-        w.loads.clear();
-        w.pushed.clear();
-        (w.up, w.busy, w.waiting, w.depot_up) = (false, 0, 0, false);
+        state.attempts.clear();
+        state.instances.clear();
+        state.loads.clear();
+        state.recent_work.clear();
+        (
+            state.up,
+            state.busy_lanes,
+            state.waiting,
+            state.artifact_store_ready,
+        ) = (false, 0, 0, false);
     }
 
     /// Starts the worker again, cold and without instances. Returns false if its address is taken.
-    pub fn start<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) -> bool {
-        let at = self.list[wk].at;
-        let Ok((listener, _)) = g.net.listen(at) else {
+    pub fn start<N: Net>(&mut self, context: &mut Context<N>, worker: usize) -> bool {
+        let address = self.list[worker].address;
+        let Ok((listener, _)) = context.net.listen(address) else {
             return false;
         };
-        let now = g.net.now();
-        let (cold, from) = self.cold;
-        let w = &mut self.list[wk];
-        (w.listener, w.up, w.draining) = (Some(listener), true, false);
-        (w.life, w.since, w.hung, w.silent, w.slow) = (w.life + 1, now, 0, 0, 1.0);
-        let capacity = w.cores * w.speed;
-        g.row(Row {
+        let now = context.net.now();
+        let (cold, from) = self.slow_start;
+        let state = &mut self.list[worker];
+        (state.listener, state.up, state.draining) = (Some(listener), true, false);
+        (
+            state.incarnation,
+            state.started_at,
+            state.hung_until,
+            state.silent_until,
+            state.slowdown,
+        ) = (state.incarnation + 1, now, 0, 0, 1.0);
+        let capacity = state.cores * state.speed;
+        context.record_row(Row {
             k: Kind::Started,
-            wk,
+            wk: worker,
             capacity,
             from,
             left: cold,
@@ -1058,79 +1179,91 @@
         true
     }
 
-    pub fn hang<N: Net>(&mut self, g: &mut Ground<N>, wk: usize, until: Time) {
-        let w = &mut self.list[wk];
-        w.hung = until;
-        w.gateways
+    pub fn hang<N: Net>(&mut self, context: &mut Context<N>, worker: usize, until: Time) {
+        let state = &mut self.list[worker];
+        state.hung_until = until;
+        state
+            .gateways
             .iter()
-            .for_each(|c| g.net.set_read_paused(c.0, true));
+            .for_each(|c| context.net.set_read_paused(c.0, true));
     }
 
-    pub fn go<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
-        let w = &mut self.list[wk];
-        w.hung = 0;
-        w.gateways
+    pub fn resume<N: Net>(&mut self, context: &mut Context<N>, worker: usize) {
+        let state = &mut self.list[worker];
+        state.hung_until = 0;
+        state
+            .gateways
             .iter()
-            .for_each(|c| g.net.set_read_paused(c.0, false));
+            .for_each(|c| context.net.set_read_paused(c.0, false));
     }
 
     /// Closes the gateways' connections in the middle of a frame.
-    pub fn torn<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
-        self.list[wk].members.clear();
-        for (conn, _) in std::mem::take(&mut self.list[wk].gateways) {
-            let w = &mut self.list[wk];
-            let mut out: Vec<u64> = w
-                .runs
+    pub fn reset_mid_frame<N: Net>(&mut self, context: &mut Context<N>, worker: usize) {
+        self.list[worker].members.clear();
+        for (conn, _) in std::mem::take(&mut self.list[worker].gateways) {
+            let state = &mut self.list[worker];
+            let mut unfinished: Vec<u64> = state
+                .attempts
                 .iter()
                 .filter(|r| r.1.conn == conn)
-                .map(|r| r.1.evt)
+                .map(|r| r.1.request_id)
                 .collect();
-            out.extend(w.swallowed.iter().filter(|s| s.0 == conn).map(|s| s.1));
-            w.swallowed.retain(|s| s.0 != conn);
-            out.into_iter().for_each(|evt| {
-                g.row(Row {
+            unfinished.extend(
+                state
+                    .unsent_ends
+                    .iter()
+                    .filter(|s| s.0 == conn)
+                    .map(|s| s.1),
+            );
+            state.unsent_ends.retain(|s| s.0 != conn);
+            unfinished.into_iter().for_each(|request_id| {
+                context.record_row(Row {
                     k: Kind::Cut,
-                    wk,
-                    evt,
+                    wk: worker,
+                    evt: request_id,
                     ..Row::default()
                 })
             });
             // The header of a frame of 100 bytes, and only two of them.
-            g.net.write(conn, &[0, 0, 0, 100, 0xb8, 2]);
-            g.own(conn, Owner::Nobody);
-            g.net.close(conn);
+            context.net.write(conn, &[0, 0, 0, 100, 0xb8, 2]);
+            context.set_owner(conn, Owner::Detached);
+            context.net.close(conn);
         }
     }
 
-    pub fn drain<N: Net>(&mut self, g: &mut Ground<N>, wk: usize) {
-        let w = &mut self.list[wk];
-        w.draining = true;
+    pub fn drain<N: Net>(&mut self, context: &mut Context<N>, worker: usize) {
+        let state = &mut self.list[worker];
+        state.draining = true;
         // Connected gateways are told by the worker itself, others by the discovery server.
-        for (conn, gw) in w.gateways.clone() {
-            if gw != usize::MAX {
-                g.out.clear();
-                Frame::new(&mut g.out, kind::DRAINS).end();
-                g.net.write(conn, &g.out);
-                g.row(Row {
+        for (conn, gateway) in state.gateways.clone() {
+            if gateway != usize::MAX {
+                context.buffer.clear();
+                Frame::new(&mut context.buffer, kind::DRAINS).end();
+                context.net.write(conn, &context.buffer);
+                context.record_row(Row {
                     k: Kind::Told,
-                    gw,
-                    wk,
+                    gw: gateway,
+                    wk: worker,
                     ..Row::default()
                 });
             }
         }
     }
 
-    pub fn void(&mut self) {
-        for c in self.list.iter_mut().flat_map(|w| w.copies.values_mut()) {
-            if c.running == 0 {
-                c.standing = 0;
+    pub fn discard_idle_instances(&mut self) {
+        for instances in self
+            .list
+            .iter_mut()
+            .flat_map(|state| state.instances.values_mut())
+        {
+            if instances.running == 0 {
+                instances.loaded = 0;
             }
         }
     }
 }
 
 /// The idempotency key of a request: all client attempts of one request have the same.
-pub fn mark(evt: u64) -> u64 {
-    evt / TRIES + 1
+pub fn idempotency_key(request_id: u64) -> u64 {
+    request_id / TRIES + 1
 }
