--- a/crates/tidewall-audit/tests/help/mod.rs
+++ b/crates/tidewall-audit/tests/help/mod.rs
@@ -4,12 +4,12 @@
 
 /// Request types: 0 redeliverable, 1 keyed by zone for 4 s, 2 at-most-once, 3 keyed among all workers for 1 s.
 /// Workers 0 and 1 are in zone 0, worker 2 is in zone 1.
-pub fn audit() -> Audit {
-    audit_of(false)
+pub fn audit_without_pair() -> Audit {
+    audit_with(false)
 }
 
 /// The same rules; with `pair`, gateway 0 is a failover pair behind one address.
-pub fn audit_of(pair: bool) -> Audit {
+pub fn audit_with(pair: bool) -> Audit {
     Audit::new(Rules {
         types: vec![
             Type::Redeliverable,
@@ -33,6 +33,7 @@
     })
 }
 
+/// A row of gateway 0 and worker 0; a request has a timeout of 3 s.
 pub fn row(t: u64, k: Kind, evt: u64) -> Row {
     Row {
         t,
@@ -44,7 +45,7 @@
 }
 
 /// An effect of task 4, sent by an incarnation of a gateway under an epoch.
-pub fn acted(t: u64, gw: usize, life: u64, epoch: u64, wk: usize, on: bool) -> Row {
+pub fn task_effect(t: u64, gw: usize, life: u64, epoch: u64, wk: usize, on: bool) -> Row {
     Row {
         t,
         k: Kind::Acted,
@@ -58,28 +59,31 @@
     }
 }
 
-pub fn asked(t: u64, evt: u64, typ: usize) -> Row {
+/// A client sends a request of a type.
+pub fn request(t: u64, evt: u64, typ: usize) -> Row {
     Row {
         typ,
         ..row(t, Kind::Asked, evt)
     }
 }
 
-pub fn at(t: u64, k: Kind, evt: u64, wk: usize) -> Row {
+pub fn row_at_worker(t: u64, k: Kind, evt: u64, wk: usize) -> Row {
     Row {
         wk,
         ..row(t, k, evt)
     }
 }
 
-pub fn proven(t: u64, evt: u64, wk: usize) -> Row {
+/// The end of an attempt at a worker, with the proof that it was not executed.
+pub fn not_executed(t: u64, evt: u64, wk: usize) -> Row {
     Row {
         proven: true,
-        ..at(t, Kind::Ended, evt, wk)
+        ..row_at_worker(t, Kind::Ended, evt, wk)
     }
 }
 
-pub fn deferred(t: u64, evt: u64) -> Row {
+/// An answer that defers the request.
+pub fn rejected(t: u64, evt: u64) -> Row {
     Row {
         deferred: true,
         ..row(t, Kind::Answered, evt)
