--- a/crates/tidewall-amqp-ingress/tests/triggers.rs
+++ b/crates/tidewall-amqp-ingress/tests/triggers.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use test_case::test_case;
 use tidewall_amqp_ingress::Amqp;
-use tidewall_emulator::terminal::{Heard, Terminal};
+use tidewall_emulator::terminal::{AmqpClient, AmqpClientHandler};
 use tidewall_net::memory::{self, Memory};
 use tidewall_net::{App, CloseReason, Conn, Listener, Net, Time};
 use tidewall_wire::kind;
@@ -24,7 +24,7 @@
     confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Told {
+impl AmqpClientHandler for Told {
     fn ready(&mut self) {
         self.ready = true;
     }
@@ -40,7 +40,7 @@
 struct Desk {
     net: Memory,
     conn: Option<Conn>,
-    terminal: Terminal,
+    terminal: AmqpClient,
     told: Told,
     over: Vec<String>,
 }
@@ -117,7 +117,7 @@
     let desk = |_| Desk {
         net: Memory::join(&site.world),
         conn: None,
-        terminal: Terminal::default(),
+        terminal: AmqpClient::default(),
         told: Told::default(),
         over: Vec::new(),
     };
@@ -311,7 +311,7 @@
 fn a_terminal_is_cut_at_every_byte() {
     let mut y = yard(&[Behavior::Answers], 2, "");
     let mut whole = Vec::new();
-    Terminal::default().publish(&mut whole, 7, "issue.f", 1_500, 70, false, b"body");
+    AmqpClient::default().publish(&mut whole, 7, "issue.f", 1_500, 70, false, b"body");
     for cut in 0..whole.len() {
         let conn = y.desks[0].conn.unwrap();
         y.desks[0].net.write(conn, &whole[..cut]);
--- a/crates/tidewall-benchmarks/src/terminals.rs
+++ b/crates/tidewall-benchmarks/src/terminals.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Instant;
-use tidewall_emulator::terminal::{Heard, Terminal};
+use tidewall_emulator::terminal::{AmqpClient, AmqpClientHandler};
 use tidewall_net::mio::Mio;
 use tidewall_net::{App, CloseReason, Conn, Listener, Net};
 
@@ -14,7 +14,7 @@
     done: Vec<(u64, bool)>,
 }
 
-impl Heard for Told {
+impl AmqpClientHandler for Told {
     fn ready(&mut self) {
         self.ready += 1;
     }
@@ -26,7 +26,7 @@
 
 pub struct Terminals {
     net: Mio,
-    conns: Vec<(Conn, Terminal)>,
+    conns: Vec<(Conn, AmqpClient)>,
     ready: usize,
     rate: f64,
     window: usize,
@@ -51,7 +51,7 @@
     ) -> std::io::Result<Terminals> {
         let mut net = Mio::new()?;
         let conns = (0..connections)
-            .map(|_| (net.connect(to, 50_000), Terminal::default()))
+            .map(|_| (net.connect(to, 50_000), AmqpClient::default()))
             .collect();
         Ok(Terminals {
             net,
--- a/crates/tidewall-cli/src/day.rs
+++ b/crates/tidewall-cli/src/day.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    fn still(&mut self, gw: usize, on: bool) {
+    fn set_suspended(&mut self, gw: usize, on: bool) {
         self.signal(gw, if on { libc::SIGSTOP } else { libc::SIGCONT });
     }
 }
@@ -149,8 +149,8 @@
         self.0.borrow_mut().start(gw);
     }
 
-    fn still(&mut self, gw: usize, on: bool) {
-        self.0.borrow_mut().still(gw, on);
+    fn set_suspended(&mut self, gw: usize, on: bool) {
+        self.0.borrow_mut().set_suspended(gw, on);
     }
 
     fn members(&self) -> Option<usize> {
@@ -374,9 +374,9 @@
         amqp: args.door == Way::Amqp,
         record: Box::new(BufWriter::new(File::create(&record).map_err(failed)?)),
         gateways: Box::new(Shared(processes.clone())),
-        fences: true,
-        forgets: false,
-        task_epochs: true,
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet = Fleet::new(net, settings, Some(script), plan).map_err(input)?;
@@ -393,7 +393,7 @@
     let (results, loads) = (fleet.results().clone(), fleet.loads());
     table(&results, loads, &audit);
     if args.pair {
-        pauses(fleet.pauses(), &results, &audit);
+        pauses(fleet.outages(), &results, &audit);
     }
     if let Some(path) = &args.report {
         report(path, args.seed, seconds, &results, loads, &audit).map_err(failed)?;
@@ -458,9 +458,9 @@
         ("lost with a killed gateway", r.broken as f64),
         ("gateway unreachable", r.unreachable as f64),
         ("confirms", r.confirms as f64),
-        ("let go by terminals", r.let_go as f64),
-        ("published twice", r.twins as f64),
-        ("further logins", r.guests as f64),
+        ("let go by terminals", r.given_up_requests as f64),
+        ("published twice", r.duplicates as f64),
+        ("further logins", r.extra_logins as f64),
         ("service", (r.service() * 10_000.0).round() / 10_000.0),
         ("latency p50, ms", latency(0.5)),
         ("latency p99, ms", latency(0.99)),
--- a/crates/tidewall-cli/src/serve.rs
+++ b/crates/tidewall-cli/src/serve.rs
@@ -205,13 +205,13 @@
         amqp: false,
         record,
         gateways: Box::new(NoGateways),
-        fences: true,
-        forgets: false,
-        task_epochs: true,
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet = Fleet::new(net, &s, None, plan).map_err(input)?;
-    info!(roster = %fleet.roster_at(), "the stand-in fleet is up");
+    info!(roster = %fleet.discovery_server_address(), "the stand-in fleet is up");
     mio::run(&mut fleet).map_err(|e| Failure::Run(e.to_string()))?;
     fleet.flush();
     Ok(())
--- a/crates/tidewall-emulator/src/clients.rs
+++ b/crates/tidewall-emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Emulated clients behind a simple load balancer: open-loop arrivals drawn with the seed, independent of the
 //! responses, client timeouts, retries where those are harmless, and a balancer that keeps sending to a
 //! failed gateway for a while.
-use crate::terminal::{Heard, Terminal};
+use crate::terminal::{AmqpClient, AmqpClientHandler};
 use crate::workers::idempotency_key;
 use crate::{timer_kind, Context, Owner};
 use hdrhistogram::Histogram;
@@ -40,13 +40,13 @@
     /// Requests that were sent again after their connection broke.
     pub asked_again: u64,
     /// Requests whose AMQP client closed the channel or connection, or stopped reading.
-    pub let_go: u64,
+    pub given_up_requests: u64,
     /// Duplicate publishes by a second AMQP client.
-    pub twins: u64,
+    pub duplicates: u64,
     /// Extra logins that were accepted.
-    pub guests: u64,
+    pub extra_logins: u64,
     /// Extra logins that were refused or broke.
-    pub guests_refused: u64,
+    pub extra_logins_refused: u64,
     /// Time from a request's arrival to the response that it was handled, in tenths of a millisecond.
     pub latency: Histogram<u64>,
 }
@@ -109,7 +109,7 @@
     confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Received {
+impl AmqpClientHandler for Received {
     fn ready(&mut self) {
         self.ready = true;
     }
@@ -123,7 +123,7 @@
 
 struct Gateway {
     name: String,
-    amqp_clients: Vec<Terminal>,
+    amqp_clients: Vec<AmqpClient>,
     address: SocketAddr,
     connections: Vec<(Option<Conn>, bool)>,
     round_robin: usize,
@@ -138,7 +138,7 @@
 /// An extra AMQP connection that logs in and sends no requests.
 struct ExtraLogin {
     conn: Conn,
-    amqp_client: Terminal,
+    amqp_client: AmqpClient,
 }
 
 pub struct Clients {
@@ -219,7 +219,7 @@
         let gateway_of = |s: &Section| Gateway {
             name: s.text("name"),
             amqp_clients: (0..c.integer("connections"))
-                .map(|_| Terminal::default())
+                .map(|_| AmqpClient::default())
                 .collect(),
             address: s
                 .text(if amqp { "amqp_address" } else { "address" })
@@ -279,10 +279,10 @@
                 confirms_wrong: 0,
                 confirms: 0,
                 asked_again: 0,
-                let_go: 0,
-                twins: 0,
-                guests: 0,
-                guests_refused: 0,
+                given_up_requests: 0,
+                duplicates: 0,
+                extra_logins: 0,
+                extra_logins_refused: 0,
                 good: zeros.clone(),
                 late: zeros.clone(),
                 asked: zeros,
@@ -438,7 +438,7 @@
                 gw: gateway,
                 ..Row::default()
             });
-            self.results.let_go += 1;
+            self.results.given_up_requests += 1;
             (self.requests[key].sticky, self.requests[key].given_up) = (
                 Some((gateway, self.gateways[gateway].broken_connections)),
                 true,
@@ -544,13 +544,13 @@
             .collect()
     }
 
-    /// Logs in `count` extra AMQP clients at once, each with a queue of `hoard` messages that it never acks
-    /// (0 for none).
+    /// Logs in `count` extra AMQP clients at once, each with a queue of `unacked_messages` messages that it
+    /// never acks (0 for none).
     pub fn open_extra_logins<N: Net>(
         &mut self,
         context: &mut Context<N>,
         count: usize,
-        hoard: u64,
+        unacked_messages: u64,
     ) {
         for i in 0..count {
             let conn = context.net.connect(
@@ -559,7 +559,7 @@
             );
             let key = self.extra_logins.insert(ExtraLogin {
                 conn,
-                amqp_client: Terminal::hoarder(hoard),
+                amqp_client: AmqpClient::consumer_without_acks(unacked_messages),
             });
             context.set_owner(conn, Owner::ExtraLogin(key));
         }
@@ -583,7 +583,7 @@
     }
 
     pub fn extra_login_closed(&mut self, key: usize) {
-        self.results.guests_refused += 1;
+        self.results.extra_logins_refused += 1;
         self.extra_logins.remove(key);
     }
 
@@ -605,7 +605,7 @@
             }
             used += length;
         }
-        self.results.guests += u64::from(received.ready);
+        self.results.extra_logins += u64::from(received.ready);
         if !out.is_empty() {
             context.net.write(self.extra_logins[key].conn, &out);
         }
@@ -960,7 +960,7 @@
             timer_kind::TIMED_OUT | key as u64,
         );
         self.requests[key].timeout_timer = Some(timer);
-        self.results.twins += 1;
+        self.results.duplicates += 1;
         context.record_row(Row {
             k: Kind::Asked,
             evt: request_id,
--- a/crates/tidewall-emulator/src/faults.rs
+++ b/crates/tidewall-emulator/src/faults.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records that the caller killed a gateway, or started it again.
-    pub fn killed(&mut self, gateway: usize, killed: bool) {
+    pub fn record_killed(&mut self, gateway: usize, killed: bool) {
         let kind = if killed { Kind::Killed } else { Kind::Up };
         self.context.record_row(Row {
             k: kind,
@@ -82,8 +82,12 @@
 
     /// Records that a gateway is cut off from the network, or reachable again; to its clients it is the same
     /// as a suspended process.
-    pub fn apart(&mut self, gateway: usize, apart: bool) {
-        let kind = if apart { Kind::Still } else { Kind::Going };
+    pub fn record_partitioned(&mut self, gateway: usize, partitioned: bool) {
+        let kind = if partitioned {
+            Kind::Still
+        } else {
+            Kind::Going
+        };
         self.context.record_row(Row {
             k: kind,
             gw: gateway,
@@ -200,7 +204,7 @@
                     gw: gateway,
                     ..Row::default()
                 });
-                self.faults.gateways.still(gateway, true);
+                self.faults.gateways.set_suspended(gateway, true);
             }
         }
         if trouble.starts_with("TERMINAL_") {
@@ -285,7 +289,7 @@
                 }
                 "GATEWAY_STILL" => {
                     self.faults.unavailable.retain(|gateway| *gateway != index);
-                    self.faults.gateways.still(index, false);
+                    self.faults.gateways.set_suspended(index, false);
                     context.record_row(Row {
                         k: Kind::Going,
                         gw: index,
--- a/crates/tidewall-emulator/src/lib.rs
+++ b/crates/tidewall-emulator/src/lib.rs
@@ -121,7 +121,7 @@
 pub trait Gateways {
     fn kill(&mut self, gw: usize);
     fn start(&mut self, gw: usize);
-    fn still(&mut self, gw: usize, on: bool);
+    fn set_suspended(&mut self, gw: usize, on: bool);
     /// Number of processes if a failover pair serves one address; `None` if each gateway is one process.
     fn members(&self) -> Option<usize> {
         None
@@ -134,7 +134,7 @@
 impl Gateways for NoGateways {
     fn kill(&mut self, _gw: usize) {}
     fn start(&mut self, _gw: usize) {}
-    fn still(&mut self, _gw: usize, _on: bool) {}
+    fn set_suspended(&mut self, _gw: usize, _on: bool) {}
 }
 
 pub struct Fleet<N: Net> {
@@ -158,11 +158,11 @@
     pub record: Box<dyn Write>,
     pub gateways: Box<dyn Gateways>,
     /// Whether workers check the epochs of a failover pair; turned off to show that the audit notices it.
-    pub fences: bool,
+    pub checks_epochs: bool,
     /// Whether voters forget the ballots they promised; turned on to show that the audit notices it.
-    pub forgets: bool,
+    pub forgets_votes: bool,
     /// Whether workers check the epochs of fleet-wide tasks; turned off to show that the audit notices it.
-    pub task_epochs: bool,
+    pub checks_task_epochs: bool,
     /// Whether the members' clocks exceed their configured bound, which the audit has to allow for.
     pub wild_clocks: bool,
 }
@@ -191,8 +191,8 @@
         let artifact_store = ArtifactStore::new(&mut context, &fleet.section("depot"))?;
         let workers = Workers::new(&mut context, settings, &fleet, artifact_store.address)?;
         let mut workers = workers;
-        (workers.checks_epochs, workers.forgets_votes) = (plan.fences, plan.forgets);
-        workers.checks_task_epochs = plan.task_epochs;
+        (workers.checks_epochs, workers.forgets_votes) = (plan.checks_epochs, plan.forgets_votes);
+        workers.checks_task_epochs = plan.checks_task_epochs;
         context.write_line(&Rules {
             wild_clocks: plan.wild_clocks,
             ..rules(settings, &workers)
@@ -242,12 +242,12 @@
     }
 
     /// Duration of each interval in which no client was connected to a failover pair's address.
-    pub fn pauses(&self) -> &[Time] {
+    pub fn outages(&self) -> &[Time] {
         &self.clients.outages
     }
 
     /// Attempts refused because the member of a pair that sent them no longer serves.
-    pub fn refused(&self) -> u64 {
+    pub fn fenced_attempts(&self) -> u64 {
         self.workers.fenced
     }
 
@@ -262,15 +262,15 @@
 
     /// Makes the endpoint list give these addresses, in the workers' order, instead of the workers' own: a
     /// relay listens there.
-    pub fn fronts(&mut self, at: &[SocketAddr]) {
+    pub fn set_endpoint_addresses(&mut self, addresses: &[SocketAddr]) {
         self.context
             .endpoints
             .iter_mut()
-            .zip(at)
-            .for_each(|(l, at)| l.1 = *at);
+            .zip(addresses)
+            .for_each(|(endpoint, address)| endpoint.1 = *address);
     }
 
-    pub fn roster_at(&self) -> SocketAddr {
+    pub fn discovery_server_address(&self) -> SocketAddr {
         self.discovery_server.address
     }
 
--- a/crates/tidewall-emulator/src/terminal.rs
+++ b/crates/tidewall-emulator/src/terminal.rs
@@ -1,19 +1,19 @@
 //! An emulated client's end of AMQP 0-9-1: it logs in, opens one channel with publisher confirms and direct
-//! reply-to, and publishes. Incoming replies and confirms go to `Heard`.
+//! reply-to, and publishes. Incoming replies and confirms go to `AmqpClientHandler`.
 use std::collections::BTreeMap;
 use tidewall_amqp::codec::{
     self, ArgumentReader, BasicProperties, FieldValue, FrameWriter, MethodId, TableWriter,
 };
 
 /// Receives what the broker sends to a client.
-pub trait Heard {
+pub trait AmqpClientHandler {
     fn ready(&mut self);
     fn answer(&mut self, request_id: u64, word: &str, come_back: u64);
     fn confirmed(&mut self, request_id: u64, good: bool);
 }
 
 #[derive(Default)]
-pub struct Terminal {
+pub struct AmqpClient {
     /// Whether the content that follows belongs to a delivery; other content is skipped.
     delivery: bool,
     content_size: Option<u64>,
@@ -25,26 +25,26 @@
     closing: bool,
     /// Number of messages in a queue of its own that it consumes without acks; 0 for a client that publishes
     /// requests.
-    hoard: u64,
+    unacked_messages: u64,
 }
 
 const DIRECT_REPLY_TO: &str = "amq.rabbitmq.reply-to";
 
-impl Terminal {
+impl AmqpClient {
     pub fn connected(&mut self, out: &mut Vec<u8>) {
-        *self = Terminal {
-            hoard: self.hoard,
-            ..Terminal::default()
+        *self = AmqpClient {
+            unacked_messages: self.unacked_messages,
+            ..AmqpClient::default()
         };
         out.extend_from_slice(&codec::PROTOCOL_HEADER);
     }
 
-    /// A client that publishes no requests: it consumes a queue of `hoard` messages of its own and never
-    /// acks.
-    pub fn hoarder(hoard: u64) -> Terminal {
-        Terminal {
-            hoard,
-            ..Terminal::default()
+    /// A client that publishes no requests: it consumes a queue of `unacked_messages` messages of its own and
+    /// never acks.
+    pub fn consumer_without_acks(unacked_messages: u64) -> AmqpClient {
+        AmqpClient {
+            unacked_messages,
+            ..AmqpClient::default()
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Declares a queue; the reply to it publishes the messages and starts the consumer that never acks.
-    fn declare_hoard(&mut self, out: &mut Vec<u8>) {
+    fn declare_unacked_queue(&mut self, out: &mut Vec<u8>) {
         let m = FrameWriter::method(out, 1, MethodId::new(50, 10))
             .short(0)
             .short_str("");
@@ -78,7 +78,7 @@
         &mut self,
         bytes: &[u8],
         out: &mut Vec<u8>,
-        heard: &mut impl Heard,
+        handler: &mut impl AmqpClientHandler,
     ) -> Result<usize, String> {
         let protocol_error =
             |f: tidewall_amqp::ProtocolError| format!("{} {}", f.reply_code, f.reply_text);
@@ -88,13 +88,13 @@
         };
         match frame.frame_type {
             codec::FRAME_METHOD => self
-                .method(frame.payload, out, heard)
+                .method(frame.payload, out, handler)
                 .map_err(protocol_error)?,
             codec::FRAME_HEADER => {
                 let header = codec::decode_content_header(frame.payload).map_err(protocol_error)?;
                 let (size, p) = (header.body_size, header.properties);
                 (self.content_size, self.content_received) = (Some(size), 0);
-                if self.delivery && !self.closing && self.hoard == 0 {
+                if self.delivery && !self.closing && self.unacked_messages == 0 {
                     let come_back = match p.headers.and_then(|h| h.get("x-come-back-ms")) {
                         Some(FieldValue::Signed(ms)) => ms.max(0) as u64 * 10,
                         _ => 0,
@@ -103,7 +103,7 @@
                         .correlation_id
                         .parse()
                         .map_err(|_| "an answer without its correlation-id")?;
-                    heard.answer(request_id, p.message_type, come_back);
+                    handler.answer(request_id, p.message_type, come_back);
                 }
             }
             codec::FRAME_BODY => self.content_received += frame.payload.len() as u64,
@@ -116,7 +116,7 @@
         &mut self,
         payload: &[u8],
         out: &mut Vec<u8>,
-        heard: &mut impl Heard,
+        handler: &mut impl AmqpClientHandler,
     ) -> Result<(), tidewall_amqp::ProtocolError> {
         let mut a = ArgumentReader::new(payload);
         match (a.short()?, a.short()?) {
@@ -163,12 +163,14 @@
                     .long_str(b"")
                     .finish();
             }
-            (60, 21) if self.hoard > 0 && !self.delivery => self.declare_hoard(out),
-            (60, 21) => heard.ready(),
+            (60, 21) if self.unacked_messages > 0 && !self.delivery => {
+                self.declare_unacked_queue(out)
+            }
+            (60, 21) => handler.ready(),
             (20, 41) => {
-                *self = Terminal {
-                    hoard: self.hoard,
-                    ..Terminal::default()
+                *self = AmqpClient {
+                    unacked_messages: self.unacked_messages,
+                    ..AmqpClient::default()
                 };
                 FrameWriter::method(out, 1, MethodId::new(20, 10))
                     .short_str("")
@@ -176,7 +178,7 @@
             }
             (50, 11) => {
                 let queue = a.short_str()?.to_string();
-                for _ in 0..self.hoard {
+                for _ in 0..self.unacked_messages {
                     let m = FrameWriter::method(out, 1, MethodId::new(60, 40))
                         .short(0)
                         .short_str("")
@@ -212,7 +214,7 @@
                     .collect();
                 for delivery_tag in confirmed {
                     if let Some(request_id) = self.unconfirmed.remove(&delivery_tag) {
-                        heard.confirmed(request_id, kind == 80);
+                        handler.confirmed(request_id, kind == 80);
                     }
                 }
             }
--- a/crates/tidewall-fault-tests/src/trial.rs
+++ b/crates/tidewall-fault-tests/src/trial.rs
@@ -110,7 +110,7 @@
 impl Gateways for Nobody {
     fn kill(&mut self, _: usize) {}
     fn start(&mut self, _: usize) {}
-    fn still(&mut self, _: usize, _: bool) {}
+    fn set_suspended(&mut self, _: usize, _: bool) {}
 }
 
 /// The shipped program: built beside this test, or now.
@@ -285,9 +285,9 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(Nobody),
-        fences: true,
-        forgets: false,
-        task_epochs: setup.left_out != "no-epochs",
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: setup.left_out != "no-epochs",
         wild_clocks: setup.wild,
     };
     let mut fleet =
@@ -307,7 +307,7 @@
         sender.send(fronts).expect("somebody waits for it");
         mio::run(&mut relay).expect("the relay runs");
     });
-    fleet.fronts(&fronts.recv().expect("the relay stands"));
+    fleet.set_endpoint_addresses(&fronts.recv().expect("the relay stands"));
     let children = (0..MEMBERS).map(|_| None).collect();
     let mut processes = Processes {
         dir,
@@ -353,7 +353,7 @@
                     .is_some_and(|c| c.try_wait().expect("it is ours").is_some());
             if over {
                 processes.goes[m] = false;
-                fleet.killed(m, true);
+                fleet.record_killed(m, true);
                 processes.kill(m);
                 last.insert(m, Instant::now());
             }
@@ -363,7 +363,7 @@
             {
                 last.remove(&m);
                 processes.start(m);
-                fleet.killed(m, false);
+                fleet.record_killed(m, false);
             }
         }
         if past >= setup.lasts
@@ -456,20 +456,20 @@
 fn take(step: &Step, processes: &mut Processes, fleet: &mut Fleet<Mio>, state: &Mutex<State>) {
     match step {
         Step::Kill(m) => {
-            fleet.killed(*m, true);
+            fleet.record_killed(*m, true);
             processes.kill(*m);
         }
         Step::Start(m) => {
             processes.start(*m);
-            fleet.killed(*m, false);
+            fleet.record_killed(*m, false);
         }
         Step::Stand(m) => {
-            fleet.apart(*m, true);
+            fleet.record_partitioned(*m, true);
             processes.signal(*m, libc::SIGSTOP);
         }
         Step::Go(m) => {
             processes.signal(*m, libc::SIGCONT);
-            fleet.apart(*m, false);
+            fleet.record_partitioned(*m, false);
         }
         Step::Term(m) => {
             processes.signal(*m, libc::SIGTERM);
--- a/crates/tidewall-interop/tests/amqprs.rs
+++ b/crates/tidewall-interop/tests/amqprs.rs
@@ -61,9 +61,9 @@
             amqp: false,
             record: Box::new(std::io::sink()),
             gateways: Box::new(NoGateways),
-            fences: true,
-            forgets: false,
-            task_epochs: true,
+            checks_epochs: true,
+            forgets_votes: false,
+            checks_task_epochs: true,
             wild_clocks: false,
         };
         let mut fleet = Fleet::new(Mio::new().unwrap(), &s, None, plan).unwrap();
--- a/crates/tidewall-sim/src/fleet.rs
+++ b/crates/tidewall-sim/src/fleet.rs
@@ -288,7 +288,7 @@
 impl Gateways for NoOrders {
     fn kill(&mut self, _: usize) {}
     fn start(&mut self, _: usize) {}
-    fn still(&mut self, _: usize, _: bool) {}
+    fn set_suspended(&mut self, _: usize, _: bool) {}
 }
 
 /// One process: its loop, and the two tasks beside it.
@@ -425,9 +425,9 @@
             amqp: false,
             record: Box::new(record.clone()),
             gateways: Box::new(NoOrders),
-            fences: true,
-            forgets: false,
-            task_epochs: setup.plant != Plant::NoEpochs,
+            checks_epochs: true,
+            forgets_votes: false,
+            checks_task_epochs: setup.plant != Plant::NoEpochs,
             wild_clocks: wild,
         };
         let fleet = Fleet::new(fleet_hand.clone(), &s, None, plan).expect("its addresses are free");
@@ -511,7 +511,7 @@
         self.counted.datagrams += p.keeping.counters.datagrams_sent.get();
         self.counted.full += p.keeping.dropped_commands();
         if !p.ended {
-            self.fleet.killed(m, true);
+            self.fleet.record_killed(m, true);
         }
     }
 
@@ -519,7 +519,7 @@
         let p = &self.processes[m];
         let (hands, life) = (p.hands.clone(), p.life + 100);
         hands.iter().for_each(|h| h.restart());
-        self.fleet.killed(m, false);
+        self.fleet.record_killed(m, false);
         self.processes[m] = process(&self.setup, &self.s, &hands, m, life);
         self.started(m);
     }
@@ -535,7 +535,7 @@
             Part::Acting => 2..3,
         };
         if part == Part::All && std::mem::replace(&mut self.processes[m].still, on) != on {
-            self.fleet.apart(m, on);
+            self.fleet.record_partitioned(m, on);
         }
         let p = &self.processes[m];
         parts.for_each(|i| p.hands[i].still(on));
@@ -710,7 +710,7 @@
                 // Its connections end with it.
                 p.ended = true;
                 p.hands[0].kill();
-                self.fleet.killed(m, true);
+                self.fleet.record_killed(m, true);
             }
             let p = &self.processes[m];
             let drained = p.gateway.as_ref().map_or(true, |_| p.hands[0].dead());
--- a/crates/tidewall-sim/src/pair/runner.rs
+++ b/crates/tidewall-sim/src/pair/runner.rs
@@ -197,10 +197,10 @@
             asked_again: results.asked_again,
             excused: audit.excused,
             takeovers: self.takeovers,
-            refused: self.fleet.refused(),
+            refused: self.fleet.fenced_attempts(),
             service: results.service(),
             // The first one is the start's.
-            pauses: self.fleet.pauses().get(1..).unwrap_or(&[]).to_vec(),
+            pauses: self.fleet.outages().get(1..).unwrap_or(&[]).to_vec(),
             cases: std::array::from_fn(|rule| audit.verdicts[rule].cases),
             breaches: breaches(&audit),
             troubles: self.troubles,
@@ -236,9 +236,9 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(NoGateways),
-        fences: setup.plant != Plant::NoFences,
-        forgets: setup.plant == Plant::Forgets,
-        task_epochs: true,
+        checks_epochs: setup.plant != Plant::NoFences,
+        forgets_votes: setup.plant == Plant::Forgets,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     Fleet::new(hand.clone(), &settings(0, setup), Some(&script), plan)
--- a/crates/tidewall-sim/src/site.rs
+++ b/crates/tidewall-sim/src/site.rs
@@ -88,7 +88,7 @@
     fn start(&mut self, gw: usize) {
         self.0.borrow_mut().push_back(Order::Start(gw));
     }
-    fn still(&mut self, gw: usize, on: bool) {
+    fn set_suspended(&mut self, gw: usize, on: bool) {
         self.0.borrow_mut().push_back(Order::Still(gw, on));
     }
 }
@@ -382,9 +382,9 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(orders.clone()),
-        fences: true,
-        forgets: false,
-        task_epochs: true,
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet =
@@ -472,7 +472,7 @@
         while let Some((_, begins, hurt, gw)) = due.pop_if(|d| d.0 <= world.borrow().now()) {
             match hurt {
                 Hurt::Cut => {
-                    fleet.apart(gw, begins);
+                    fleet.record_partitioned(gw, begins);
                     let cut = Path {
                         cut: begins,
                         ..path
@@ -493,7 +493,7 @@
                 Hurt::Junk => {}
                 _ if begins => {
                     if hurt != Hurt::KillUntold {
-                        fleet.killed(gw, true);
+                        fleet.record_killed(gw, true);
                     }
                     hands[gw].kill();
                     let mut platter = disks[gw].0.borrow_mut();
@@ -510,7 +510,7 @@
                 _ => {
                     lives += 1;
                     if hurt != Hurt::KillUntold {
-                        fleet.killed(gw, false);
+                        fleet.record_killed(gw, false);
                     }
                     hands[gw].restart();
                     let seed = seed * 1_000 + 10 * lives + gw as u64;
