--- a/crates/tidewall-audit/src/answers.rs
+++ b/crates/tidewall-audit/src/answers.rs
@@ -23,25 +23,25 @@
         self.count_case(Rule::FinalAnswer);
         self.count_repeat(row);
         let request = Request {
-            gateway: row.gw,
-            request_type: row.typ,
-            deadline: row.t + row.left,
+            gateway: row.gateway,
+            request_type: row.request_type,
+            deadline: row.time + row.left,
             ..Request::default()
         };
-        self.requests.insert(row.evt, request);
-        self.load_requests.request_admitted(row.gw, row.t);
+        self.requests.insert(row.request_id, request);
+        self.load_requests.request_admitted(row.gateway, row.time);
     }
 
     /// The request was never admitted, so no answer is owed.
     pub(crate) fn request_refused(&mut self, row: &Row) {
-        self.requests.remove(&row.evt);
-        self.load_requests.request_refused(row.gw);
+        self.requests.remove(&row.request_id);
+        self.load_requests.request_refused(row.gateway);
     }
 
     pub(crate) fn request_sent_again(&mut self, row: &Row) {
         let waits = self
             .requests
-            .get(&row.evt)
+            .get(&row.request_id)
             .is_some_and(|request| !request.over);
         if waits {
             self.count_case(Rule::FinalAnswer);
@@ -49,13 +49,13 @@
     }
 
     pub(crate) fn request_abandoned(&mut self, row: &Row) {
-        if let Some(request) = self.requests.get_mut(&row.evt) {
-            (request.over, request.abandoned_at) = (true, Some(row.t));
+        if let Some(request) = self.requests.get_mut(&row.request_id) {
+            (request.over, request.abandoned_at) = (true, Some(row.time));
         }
     }
 
     pub(crate) fn deadline_passed(&mut self, row: &Row) {
-        let Some(request) = self.open_request(row.evt) else {
+        let Some(request) = self.open_request(row.request_id) else {
             return;
         };
         request.over = true;
@@ -65,15 +65,15 @@
         } else {
             let text = format!(
                 "event {} had no answer from gateway {gateway} in its time",
-                row.evt
+                row.request_id
             );
-            self.breach(Rule::FinalAnswer, row.t, text);
+            self.breach(Rule::FinalAnswer, row.time, text);
         }
     }
 
     /// The client's connection broke: what was in flight on it is lost, which only a kill excuses.
     pub(crate) fn client_connection_broke(&mut self, row: &Row) {
-        let Some(request) = self.open_request(row.evt) else {
+        let Some(request) = self.open_request(row.request_id) else {
             return;
         };
         request.over = true;
@@ -81,14 +81,14 @@
         if !self.availability.is_killed(gateway) {
             let text = format!(
                 "event {} was dropped by gateway {gateway} with its connection",
-                row.evt
+                row.request_id
             );
-            self.breach(Rule::FinalAnswer, row.t, text);
+            self.breach(Rule::FinalAnswer, row.time, text);
         }
     }
 
     pub(crate) fn request_answered(&mut self, row: &Row) {
-        let (now, id) = (row.t, row.evt);
+        let (now, id) = (row.time, row.request_id);
         let Some(request) = self.requests.get_mut(&id) else {
             let text = format!("event {id} was answered and never asked");
             return self.breach(Rule::FinalAnswer, now, text);
--- a/crates/tidewall-audit/src/attempts.rs
+++ b/crates/tidewall-audit/src/attempts.rs
@@ -1,6 +1,6 @@
 //! The second rule: no effect happens twice. A retry is allowed where no attempt before it can have been executed, or
 //! where the request's type makes a repeat harmless.
-use crate::rows::{Group, Row, Rules, Type, TRIES};
+use crate::rows::{Group, Row, Rules, Type, ATTEMPTS_PER_REQUEST};
 use crate::{Audit, Rule, Time, GRACE};
 
 /// One sending of a request to a worker.
@@ -22,10 +22,11 @@
 impl Audit {
     /// Counts a client's further attempt, where an earlier one may have been executed.
     pub(crate) fn count_repeat(&mut self, row: &Row) {
-        let first = row.evt / TRIES * TRIES;
-        let mut others = self.requests.range(first..first + TRIES);
-        let attempted = others.any(|(id, other)| *id != row.evt && !other.attempts.is_empty());
-        if attempted && self.rules.types[row.typ] != Type::Redeliverable {
+        let first = row.request_id / ATTEMPTS_PER_REQUEST * ATTEMPTS_PER_REQUEST;
+        let mut others = self.requests.range(first..first + ATTEMPTS_PER_REQUEST);
+        let attempted =
+            others.any(|(id, other)| *id != row.request_id && !other.attempts.is_empty());
+        if attempted && self.rules.types[row.request_type] != Type::Redeliverable {
             self.count_case(Rule::SingleEffect);
         }
     }
@@ -33,7 +34,7 @@
     pub(crate) fn attempt_sent(&mut self, row: &Row) {
         self.check_drain_of_attempt(row);
         self.check_slow_start(row);
-        let (now, id, worker) = (row.t, row.evt, row.wk);
+        let (now, id, worker) = (row.time, row.request_id, row.worker);
         let Some(request) = self.requests.get_mut(&id) else {
             // Refused at admission, or not sent on a recorded connection.
             let text = format!("event {id} was launched and is in no gateway's hands");
@@ -78,21 +79,24 @@
 
     pub(crate) fn attempt_ended(&mut self, row: &Row) {
         if let Some(attempt) = self.open_attempt(row) {
-            (attempt.ended_at, attempt.not_executed) = (Some(row.t), row.proven);
+            (attempt.ended_at, attempt.not_executed) = (Some(row.time), row.proven);
         }
     }
 
     pub(crate) fn worker_connection_broke(&mut self, row: &Row) {
         if let Some(attempt) = self.open_attempt(row) {
-            attempt.ended_at = Some(row.t);
+            attempt.ended_at = Some(row.time);
         }
     }
 
     pub(crate) fn executed(&mut self, row: &Row) {
-        let (now, worker) = (row.t, row.wk);
+        let (now, worker) = (row.time, row.worker);
         // All attempts of a client for one request count together.
-        let executions = self.executions.entry(row.evt / TRIES).or_default();
-        let repeated = match self.rules.types[row.typ] {
+        let executions = self
+            .executions
+            .entry(row.request_id / ATTEMPTS_PER_REQUEST)
+            .or_default();
+        let repeated = match self.rules.types[row.request_type] {
             Type::Redeliverable => false,
             Type::AtMostOnce => !executions.is_empty(),
             Type::Keyed(scope, window) => executions.iter().any(|earlier| {
@@ -101,16 +105,19 @@
         };
         executions.push(Execution { worker, at: now });
         if repeated {
-            let text = format!("event {} had its effect again at worker {worker}", row.evt);
+            let text = format!(
+                "event {} had its effect again at worker {worker}",
+                row.request_id
+            );
             self.breach(Rule::SingleEffect, now, text);
         }
     }
 
     /// The newest attempt of the row's request at its worker that has not ended.
     fn open_attempt(&mut self, row: &Row) -> Option<&mut Attempt> {
-        let attempts = &mut self.requests.get_mut(&row.evt)?.attempts;
+        let attempts = &mut self.requests.get_mut(&row.request_id)?.attempts;
         let mut newest_first = attempts.iter_mut().rev();
-        newest_first.find(|attempt| attempt.worker == row.wk && attempt.ended_at.is_none())
+        newest_first.find(|attempt| attempt.worker == row.worker && attempt.ended_at.is_none())
     }
 }
 
--- a/crates/tidewall-audit/src/availability.rs
+++ b/crates/tidewall-audit/src/availability.rs
@@ -66,24 +66,24 @@
     }
 
     pub(crate) fn stopped(&mut self, row: &Row) {
-        self.stopped.insert(row.gw, open_interval(row.t));
+        self.stopped.insert(row.gateway, open_interval(row.time));
     }
 
     pub(crate) fn continued(&mut self, row: &Row) {
         self.stopped
-            .entry(row.gw)
-            .and_modify(|stop| stop.end = row.t);
+            .entry(row.gateway)
+            .and_modify(|stop| stop.end = row.time);
     }
 
     pub(crate) fn became_unreachable(&mut self, row: &Row) {
-        let intervals = self.unreachable.entry(row.gw).or_default();
-        intervals.push(open_interval(row.t));
+        let intervals = self.unreachable.entry(row.gateway).or_default();
+        intervals.push(open_interval(row.time));
     }
 
     pub(crate) fn became_reachable(&mut self, row: &Row) {
-        let intervals = self.unreachable.get_mut(&row.gw);
+        let intervals = self.unreachable.get_mut(&row.gateway);
         if let Some(last) = intervals.and_then(|intervals| intervals.last_mut()) {
-            last.end = row.t;
+            last.end = row.time;
         }
     }
 
--- a/crates/tidewall-audit/src/drains.rs
+++ b/crates/tidewall-audit/src/drains.rs
@@ -13,8 +13,8 @@
 impl From<&Row> for GatewayWorker {
     fn from(row: &Row) -> GatewayWorker {
         GatewayWorker {
-            gateway: row.gw,
-            worker: row.wk,
+            gateway: row.gateway,
+            worker: row.worker,
         }
     }
 }
@@ -24,16 +24,18 @@
         if row.on {
             self.drains.remove(&row.into());
         } else if let Entry::Vacant(entry) = self.drains.entry(row.into()) {
-            entry.insert(row.t);
+            entry.insert(row.time);
             self.count_case(Rule::Drain);
         }
     }
 
     /// A connection broke on which a gateway that is stopped has not read what was sent meanwhile, and never will.
     pub(crate) fn updates_lost(&mut self, row: &Row) {
-        let stop = self.availability.last_stop(row.gw);
+        let stop = self.availability.last_stop(row.gateway);
         self.drains.retain(|key, sent_at| {
-            key.gateway != row.gw || !(row.on || key.worker == row.wk) || !stop.is_open_at(*sent_at)
+            key.gateway != row.gateway
+                || !(row.on || key.worker == row.worker)
+                || !stop.is_open_at(*sent_at)
         });
     }
 
@@ -46,28 +48,28 @@
 
     pub(crate) fn check_drain_of_attempt(&mut self, row: &Row) {
         if let Some(told_at) = self.drained_since(row) {
-            let (gateway, worker) = (row.gw, row.wk);
-            let late = (row.t - told_at) / 10;
+            let (gateway, worker) = (row.gateway, row.worker);
+            let late = (row.time - told_at) / 10;
             let text = format!(
                 "gateway {gateway} sent event {} to worker {worker} {late} ms after its drain",
-                row.evt
+                row.request_id
             );
-            self.breach(Rule::Drain, row.t, text);
+            self.breach(Rule::Drain, row.time, text);
         }
     }
 
     pub(crate) fn check_drain_of_load_request(&mut self, row: &Row) {
         if self.drained_since(row).is_some() {
-            let (gateway, worker) = (row.gw, row.wk);
+            let (gateway, worker) = (row.gateway, row.worker);
             let text =
                 format!("gateway {gateway} ordered a load at worker {worker} after its drain");
-            self.breach(Rule::Drain, row.t, text);
+            self.breach(Rule::Drain, row.time, text);
         }
     }
 
     /// Since when the gateway knows that the worker drains, where the grace period is over.
     fn drained_since(&self, row: &Row) -> Option<Time> {
         let told_at = self.drains.get(&row.into()).copied();
-        told_at.filter(|told_at| row.t > told_at + self.rules.drain_grace)
+        told_at.filter(|told_at| row.time > told_at + self.rules.drain_grace)
     }
 }
--- a/crates/tidewall-audit/src/lib.rs
+++ b/crates/tidewall-audit/src/lib.rs
@@ -109,7 +109,7 @@
     /// # Panics
     /// Where a row names a type or a worker that the rules do not have.
     pub fn row(&mut self, row: &Row) {
-        match row.k {
+        match row.kind {
             Kind::Asked => self.request_sent(row),
             Kind::Answered => self.request_answered(row),
             Kind::TurnedAway => self.request_refused(row),
@@ -120,14 +120,14 @@
             Kind::GaveUp => self.deadline_passed(row),
             Kind::Broke => self.client_connection_broke(row),
             Kind::Killed => {
-                self.availability.killed(row.gw);
-                if self.rules.keepers.contains(&row.gw) {
-                    self.grantor_kills.push(row.t);
+                self.availability.killed(row.gateway);
+                if self.rules.keepers.contains(&row.gateway) {
+                    self.grantor_kills.push(row.time);
                 }
             }
             Kind::Up => {
-                self.availability.started(row.gw);
-                self.forget_drains(row.gw);
+                self.availability.started(row.gateway);
+                self.forget_drains(row.gateway);
             }
             Kind::Still => self.availability.stopped(row),
             Kind::Going => self.availability.continued(row),
@@ -181,7 +181,7 @@
             None => audit = Some(Audit::new(serde_json::from_str(&line).map_err(invalid)?)),
             Some(audit) => {
                 let row: Row = serde_json::from_str(&line).map_err(invalid)?;
-                last = row.t;
+                last = row.time;
                 audit.row(&row);
             }
         }
--- a/crates/tidewall-audit/src/load_requests.rs
+++ b/crates/tidewall-audit/src/load_requests.rs
@@ -25,12 +25,12 @@
 
 impl Audit {
     pub(crate) fn load_request_sent(&mut self, row: &Row) {
-        if row.copies == 0 {
+        if row.instances == 0 {
             // It only asks how many instances are loaded.
             return;
         }
         self.check_drain_of_load_request(row);
-        let (now, gateway, window) = (row.t, row.gw, self.rules.load_window);
+        let (now, gateway, window) = (row.time, row.gateway, self.rules.load_window);
         if window == 0 {
             return;
         }
--- a/crates/tidewall-audit/src/rows.rs
+++ b/crates/tidewall-audit/src/rows.rs
@@ -1,6 +1,6 @@
-//! The record's format: what the emulator writes, one JSON line for each thing that crossed one of its sockets. Kinds and
-//! fields are named as they are written; the rest of the package knows them by the terms of the glossary. Times are whole
-//! tenths of a millisecond.
+//! The record's format: what the emulator writes, one JSON line for each thing that crossed one of its sockets. Fields
+//! are written under shorter names where they have a `rename` attribute, kinds under their own. Times are whole tenths of a
+//! millisecond.
 use serde::{Deserialize, Serialize};
 
 /// Scope of an idempotency key: the workers that drop its repeats together.
@@ -121,29 +121,31 @@
     *value == T::default()
 }
 
-/// The number of a request times this, plus that of a client's attempt at it, is what rows name as `evt`.
-pub const TRIES: u64 = 16;
+/// The number of a request times this, plus that of a client's attempt at it, is the request id of a row.
+pub const ATTEMPTS_PER_REQUEST: u64 = 16;
 
 /// One row; what does not belong to its kind is left out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Row {
     /// When it happened.
-    pub t: u64,
+    #[serde(rename = "t")]
+    pub time: u64,
     /// What happened.
-    pub k: Kind,
+    #[serde(rename = "k")]
+    pub kind: Kind,
     /// Index of the gateway.
-    #[serde(skip_serializing_if = "is_default")]
-    pub gw: usize,
+    #[serde(rename = "gw", skip_serializing_if = "is_default")]
+    pub gateway: usize,
     /// Index of the worker.
-    #[serde(skip_serializing_if = "is_default")]
-    pub wk: usize,
-    /// Number of the request and of its client's attempt, see `TRIES`.
-    #[serde(skip_serializing_if = "is_default")]
-    pub evt: u64,
+    #[serde(rename = "wk", skip_serializing_if = "is_default")]
+    pub worker: usize,
+    /// Number of the request and of its client's attempt, see `ATTEMPTS_PER_REQUEST`.
+    #[serde(rename = "evt", skip_serializing_if = "is_default")]
+    pub request_id: u64,
     /// Index of the request's type in the rules.
-    #[serde(skip_serializing_if = "is_default")]
-    pub typ: usize,
+    #[serde(rename = "typ", skip_serializing_if = "is_default")]
+    pub request_type: usize,
     /// Time until the deadline; of a worker that started, until it is warm.
     #[serde(skip_serializing_if = "is_default")]
     pub left: u64,
@@ -157,8 +159,8 @@
     #[serde(skip_serializing_if = "is_default")]
     pub on: bool,
     /// Instances that a load request asks for; 0 only asks how many there are.
-    #[serde(skip_serializing_if = "is_default")]
-    pub copies: u64,
+    #[serde(rename = "copies", skip_serializing_if = "is_default")]
+    pub instances: u64,
     /// Work of an attempt.
     #[serde(skip_serializing_if = "is_default")]
     pub work: f64,
@@ -175,6 +177,6 @@
     #[serde(skip_serializing_if = "is_default")]
     pub epoch: u64,
     /// Incarnation of the gateway.
-    #[serde(skip_serializing_if = "is_default")]
-    pub life: u64,
+    #[serde(rename = "life", skip_serializing_if = "is_default")]
+    pub incarnation: u64,
 }
--- a/crates/tidewall-audit/src/slow_start.rs
+++ b/crates/tidewall-audit/src/slow_start.rs
@@ -29,7 +29,7 @@
 impl WarmingWorker {
     fn new(row: &Row) -> WarmingWorker {
         WarmingWorker {
-            started_at: row.t,
+            started_at: row.time,
             capacity: row.capacity,
             initial_share: row.from,
             duration: row.left,
@@ -59,19 +59,20 @@
 
 impl Audit {
     pub(crate) fn worker_started(&mut self, row: &Row) {
-        self.warming_workers.insert(row.wk, WarmingWorker::new(row));
+        self.warming_workers
+            .insert(row.worker, WarmingWorker::new(row));
     }
 
     pub(crate) fn worker_fell_over(&mut self, row: &Row) {
         self.count_case(Rule::SlowStart);
-        let text = format!("worker {} fell over", row.wk);
-        self.breach(Rule::SlowStart, row.t, text);
+        let text = format!("worker {} fell over", row.worker);
+        self.breach(Rule::SlowStart, row.time, text);
     }
 
     /// Work that reaches a worker that warms up, against what makes it fall over. A start has one breach at most.
     pub(crate) fn check_slow_start(&mut self, row: &Row) {
-        let (now, window, multiple) = (row.t, self.rules.fall, self.rules.fall_multiple);
-        let Some(worker) = self.warming_workers.get_mut(&row.wk) else {
+        let (now, window, multiple) = (row.time, self.rules.fall, self.rules.fall_multiple);
+        let Some(worker) = self.warming_workers.get_mut(&row.worker) else {
             return;
         };
         let age = now - worker.started_at;
@@ -87,7 +88,7 @@
         if first {
             let text = format!(
                 "worker {} was sent {:.0} ms of work, {:.0} ms tips it",
-                row.wk,
+                row.worker,
                 sum / 10.0,
                 limit / 10.0
             );
--- a/crates/tidewall-audit/src/tasks.rs
+++ b/crates/tidewall-audit/src/tasks.rs
@@ -35,10 +35,10 @@
     }
 
     fn check_holder(&mut self, row: &Row) {
-        let (now, epoch) = (row.t, row.epoch);
+        let (now, epoch) = (row.time, row.epoch);
         let holder = Holder {
-            gateway: row.gw,
-            incarnation: row.life,
+            gateway: row.gateway,
+            incarnation: row.incarnation,
         };
         let task = self.tasks.entry(row.task).or_default();
         let (last_epoch, last_holder, since) = (task.epoch, task.holder, task.since);
@@ -72,7 +72,7 @@
 
     /// At one worker nothing takes effect under an older epoch than before.
     fn check_effective_epoch(&mut self, row: &Row) {
-        let (epoch, worker) = (row.epoch, row.wk);
+        let (epoch, worker) = (row.epoch, row.worker);
         let task = self.tasks.entry(row.task).or_default();
         let newest = task.effective_epochs.entry(worker).or_default();
         let older = epoch < *newest;
@@ -82,7 +82,7 @@
                 "task {}: an act under epoch {epoch} took effect at worker {worker} after a newer one's",
                 row.task
             );
-            self.breach(Rule::SingleHolder, row.t, text);
+            self.breach(Rule::SingleHolder, row.time, text);
         }
     }
 
--- a/crates/tidewall-audit/tests/help/mod.rs
+++ b/crates/tidewall-audit/tests/help/mod.rs
@@ -34,58 +34,65 @@
 }
 
 /// A row of gateway 0 and worker 0; a request has a timeout of 3 s.
-pub fn row(t: u64, k: Kind, evt: u64) -> Row {
+pub fn row(time: u64, kind: Kind, request_id: u64) -> Row {
     Row {
-        t,
-        k,
-        evt,
-        left: if k == Kind::Asked { 30_000 } else { 0 },
+        time,
+        kind,
+        request_id,
+        left: if kind == Kind::Asked { 30_000 } else { 0 },
         ..Row::default()
     }
 }
 
 /// An effect of task 4, sent by an incarnation of a gateway under an epoch.
-pub fn task_effect(t: u64, gw: usize, life: u64, epoch: u64, wk: usize, on: bool) -> Row {
+pub fn task_effect(
+    time: u64,
+    gateway: usize,
+    incarnation: u64,
+    epoch: u64,
+    worker: usize,
+    on: bool,
+) -> Row {
     Row {
-        t,
-        k: Kind::Acted,
-        gw,
-        wk,
+        time,
+        kind: Kind::Acted,
+        gateway,
+        worker,
         task: 4,
         epoch,
-        life,
+        incarnation,
         on,
         ..Row::default()
     }
 }
 
 /// A client sends a request of a type.
-pub fn request(t: u64, evt: u64, typ: usize) -> Row {
+pub fn request(time: u64, request_id: u64, request_type: usize) -> Row {
     Row {
-        typ,
-        ..row(t, Kind::Asked, evt)
+        request_type,
+        ..row(time, Kind::Asked, request_id)
     }
 }
 
-pub fn row_at_worker(t: u64, k: Kind, evt: u64, wk: usize) -> Row {
+pub fn row_at_worker(time: u64, kind: Kind, request_id: u64, worker: usize) -> Row {
     Row {
-        wk,
-        ..row(t, k, evt)
+        worker,
+        ..row(time, kind, request_id)
     }
 }
 
 /// The end of an attempt at a worker, with the proof that it was not executed.
-pub fn not_executed(t: u64, evt: u64, wk: usize) -> Row {
+pub fn not_executed(time: u64, request_id: u64, worker: usize) -> Row {
     Row {
         proven: true,
-        ..row_at_worker(t, Kind::Ended, evt, wk)
+        ..row_at_worker(time, Kind::Ended, request_id, worker)
     }
 }
 
 /// An answer that defers the request.
-pub fn rejected(t: u64, evt: u64) -> Row {
+pub fn rejected(time: u64, request_id: u64) -> Row {
     Row {
         deferred: true,
-        ..row(t, Kind::Answered, evt)
+        ..row(time, Kind::Answered, request_id)
     }
 }
--- a/crates/tidewall-audit/tests/rules.rs
+++ b/crates/tidewall-audit/tests/rules.rs
@@ -71,10 +71,10 @@
 #[test_case(with_second_attempt(1, row_at_worker(20, Kind::Cut, 7, 0), 2, 90), &[(2, 1)] ; "planted: keyed beyond its zone")]
 #[test_case(with_second_attempt(3, row_at_worker(20, Kind::Cut, 7, 0), 2, 20_000), &[(2, 1)] ; "planted: keyed beyond its window")]
 #[test_case(with_second_attempt(0, row_at_worker(20_000, Kind::Ran, 7, 0), 1, 21_000), &[(2, 1)] ; "planted: two attempts in flight at a time")]
-#[test_case(vec![request(0, 7, 1), Row { typ: 1, ..row_at_worker(1, Kind::Ran, 7, 0) }, row(9, Kind::Answered, 7), Row { typ: 1, ..row_at_worker(40_000, Kind::Ran, 8, 1) }], &[(2, 1)] ; "planted: keyed ran twice in its zone and window")]
-#[test_case(vec![request(0, 7, 1), Row { typ: 1, ..row_at_worker(1, Kind::Ran, 7, 0) }, row(9, Kind::Answered, 7), Row { typ: 1, ..row_at_worker(40_001, Kind::Ran, 8, 1) }], &[] ; "keyed ran again after its window")]
-#[test_case(vec![request(0, 7, 1), Row { typ: 1, ..row_at_worker(1, Kind::Ran, 7, 0) }, Row { typ: 1, ..row_at_worker(9, Kind::Ran, 8, 2) }, row(9, Kind::Answered, 7)], &[] ; "keyed ran in another zone")]
-#[test_case(vec![request(0, 7, 2), Row { typ: 2, ..Row { typ: 2, ..row_at_worker(1, Kind::Ran, 7, 0) } }, Row { typ: 2, ..row_at_worker(2, Kind::Ran, 8, 1) }, row(3, Kind::Answered, 7)], &[(2, 1)] ; "planted: at-most-once ran twice")]
+#[test_case(vec![request(0, 7, 1), Row { request_type: 1, ..row_at_worker(1, Kind::Ran, 7, 0) }, row(9, Kind::Answered, 7), Row { request_type: 1, ..row_at_worker(40_000, Kind::Ran, 8, 1) }], &[(2, 1)] ; "planted: keyed ran twice in its zone and window")]
+#[test_case(vec![request(0, 7, 1), Row { request_type: 1, ..row_at_worker(1, Kind::Ran, 7, 0) }, row(9, Kind::Answered, 7), Row { request_type: 1, ..row_at_worker(40_001, Kind::Ran, 8, 1) }], &[] ; "keyed ran again after its window")]
+#[test_case(vec![request(0, 7, 1), Row { request_type: 1, ..row_at_worker(1, Kind::Ran, 7, 0) }, Row { request_type: 1, ..row_at_worker(9, Kind::Ran, 8, 2) }, row(9, Kind::Answered, 7)], &[] ; "keyed ran in another zone")]
+#[test_case(vec![request(0, 7, 2), Row { request_type: 2, ..Row { request_type: 2, ..row_at_worker(1, Kind::Ran, 7, 0) } }, Row { request_type: 2, ..row_at_worker(2, Kind::Ran, 8, 1) }, row(3, Kind::Answered, 7)], &[(2, 1)] ; "planted: at-most-once ran twice")]
 #[test_case(vec![request(0, 7, 2), row_at_worker(1, Kind::Launched, 7, 0), row_at_worker(2, Kind::Ended, 7, 0), rejected(3, 7)], &[(2, 1)] ; "planted: deferred after it may have run")]
 #[test_case(vec![request(0, 7, 2), row_at_worker(1, Kind::Launched, 7, 0), not_executed(2, 7, 0), rejected(3, 7)], &[] ; "deferred after a proof that it was not executed")]
 #[test_case(vec![request(0, 7, 3), row_at_worker(1, Kind::Launched, 7, 0), row_at_worker(2, Kind::Ended, 7, 0), rejected(3, 7)], &[] ; "keyed among all may be deferred")]
@@ -97,7 +97,7 @@
         rows.push(row_at_worker(t, Kind::Launched, 7, 1));
     } else {
         rows.push(Row {
-            copies: 1,
+            instances: 1,
             ..row_at_worker(t, Kind::Ordered, 0, 1)
         });
     }
@@ -189,7 +189,7 @@
     }
     for i in 0..load_requests {
         rows.push(Row {
-            copies: 1,
+            instances: 1,
             ..row_at_worker(10 + wait + i, Kind::Ordered, 0, 0)
         });
     }
--- a/crates/tidewall-emulator/src/clients.rs
+++ b/crates/tidewall-emulator/src/clients.rs
@@ -11,7 +11,7 @@
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tidewall_audit::rows::{Kind, Row, TRIES};
+use tidewall_audit::rows::{Kind, Row, ATTEMPTS_PER_REQUEST};
 use tidewall_config::Section;
 use tidewall_net::{Conn, Net, Time, TimerId};
 use tidewall_wire::{self as wire, kind, Field, Fields, Frame};
@@ -365,8 +365,8 @@
             target.down_since = Some(now);
             if self.pair {
                 context.record_row(Row {
-                    k: Kind::Away,
-                    gw: gateway,
+                    kind: Kind::Away,
+                    gateway,
                     ..Row::default()
                 });
             }
@@ -401,9 +401,9 @@
         for key in unanswered {
             let request_id = self.request_id(key);
             context.record_row(Row {
-                k: Kind::Broke,
-                evt: request_id,
-                gw: gateway,
+                kind: Kind::Broke,
+                request_id,
+                gateway,
                 ..Row::default()
             });
             self.results.broken += 1;
@@ -433,9 +433,9 @@
         for key in unanswered {
             let request_id = self.request_id(key);
             context.record_row(Row {
-                k: Kind::Left,
-                evt: request_id,
-                gw: gateway,
+                kind: Kind::Left,
+                request_id,
+                gateway,
                 ..Row::default()
             });
             self.results.given_up_requests += 1;
@@ -614,7 +614,7 @@
 
     fn request_id(&self, key: usize) -> u64 {
         let request = &self.requests[key];
-        request.number * TRIES + request.attempts - 1
+        request.number * ATTEMPTS_PER_REQUEST + request.attempts - 1
     }
 
     /// The connection can take requests.
@@ -629,8 +629,8 @@
         if let Some(since) = since.filter(|_| self.pair) {
             self.outages.push(context.net.now() - since);
             context.record_row(Row {
-                k: Kind::Back,
-                gw: gateway,
+                kind: Kind::Back,
+                gateway,
                 ..Row::default()
             });
         }
@@ -885,10 +885,10 @@
         // Recorded before it is sent, so that no launch of it can be recorded first.
         let kind = if again { Kind::AskedAgain } else { Kind::Asked };
         context.record_row(Row {
-            k: kind,
-            evt: request_id,
-            gw: gateway,
-            typ: request_type,
+            kind,
+            request_id,
+            gateway,
+            request_type,
             left,
             ..Row::default()
         });
@@ -899,9 +899,9 @@
                 return;
             }
             context.record_row(Row {
-                k: Kind::TurnedAway,
-                evt: request_id,
-                gw: gateway,
+                kind: Kind::TurnedAway,
+                request_id,
+                gateway,
                 ..Row::default()
             });
             self.end_attempt(context, key, true, 0);
@@ -918,7 +918,7 @@
     ) {
         let now = context.net.now();
         let request = &self.requests[original];
-        if request.attempts >= TRIES
+        if request.attempts >= ATTEMPTS_PER_REQUEST
             || self
                 .requests
                 .iter()
@@ -934,7 +934,7 @@
         payload[..4].copy_from_slice(&(request.work.ceil() as u32).to_be_bytes());
         let sent_to = Some((gateway, connection));
         let duplicate = Request {
-            attempts: TRIES,
+            attempts: ATTEMPTS_PER_REQUEST,
             sent_to,
             in_flight: true,
             timeout_timer: None,
@@ -962,10 +962,10 @@
         self.requests[key].timeout_timer = Some(timer);
         self.results.duplicates += 1;
         context.record_row(Row {
-            k: Kind::Asked,
-            evt: request_id,
-            gw: gateway,
-            typ: request_type,
+            kind: Kind::Asked,
+            request_id,
+            gateway,
+            request_type,
             left,
             ..Row::default()
         });
@@ -1105,14 +1105,15 @@
             Kind::Answered
         };
         context.record_row(Row {
-            k: kind,
-            evt: request_id,
-            gw: gateway,
+            kind,
+            request_id,
+            gateway,
             deferred,
             ..Row::default()
         });
         let found = self.requests.iter().find(|request| {
-            request.1.in_flight && request.1.number * TRIES + request.1.attempts - 1 == request_id
+            request.1.in_flight
+                && request.1.number * ATTEMPTS_PER_REQUEST + request.1.attempts - 1 == request_id
         });
         let Some(key) = found.map(|request| request.0) else {
             return Ok(());
@@ -1164,9 +1165,9 @@
             return self.end_attempt(context, key, true, 0);
         }
         context.record_row(Row {
-            k: Kind::GaveUp,
-            evt: request_id,
-            gw: gateway,
+            kind: Kind::GaveUp,
+            request_id,
+            gateway,
             ..Row::default()
         });
         self.results.lapsed += u64::from(!self.requests[key].duplicate);
@@ -1186,9 +1187,9 @@
         };
         self.requests[key].abandon_timer = None;
         context.record_row(Row {
-            k: Kind::Left,
-            evt: request_id,
-            gw: gateway,
+            kind: Kind::Left,
+            request_id,
+            gateway,
             ..Row::default()
         });
         self.send_leave(context, key, request_id);
--- a/crates/tidewall-emulator/src/faults.rs
+++ b/crates/tidewall-emulator/src/faults.rs
@@ -74,8 +74,8 @@
     pub fn record_killed(&mut self, gateway: usize, killed: bool) {
         let kind = if killed { Kind::Killed } else { Kind::Up };
         self.context.record_row(Row {
-            k: kind,
-            gw: gateway,
+            kind,
+            gateway,
             ..Row::default()
         });
     }
@@ -89,8 +89,8 @@
             Kind::Going
         };
         self.context.record_row(Row {
-            k: kind,
-            gw: gateway,
+            kind,
+            gateway,
             ..Row::default()
         });
     }
@@ -193,15 +193,15 @@
             if trouble == "GATEWAY_KILL" {
                 let pair = self.faults.gateways.members().is_some();
                 context.record_row(Row {
-                    k: Kind::Killed,
-                    gw: if pair { 0 } else { gateway },
+                    kind: Kind::Killed,
+                    gateway: if pair { 0 } else { gateway },
                     ..Row::default()
                 });
                 self.faults.gateways.kill(gateway);
             } else {
                 context.record_row(Row {
-                    k: Kind::Still,
-                    gw: gateway,
+                    kind: Kind::Still,
+                    gateway,
                     ..Row::default()
                 });
                 self.faults.gateways.set_suspended(gateway, true);
@@ -280,8 +280,8 @@
                 "GATEWAY_KILL" => {
                     let pair = self.faults.gateways.members().is_some();
                     context.record_row(Row {
-                        k: Kind::Up,
-                        gw: if pair { 0 } else { index },
+                        kind: Kind::Up,
+                        gateway: if pair { 0 } else { index },
                         ..Row::default()
                     });
                     self.faults.unavailable.retain(|gateway| *gateway != index);
@@ -291,8 +291,8 @@
                     self.faults.unavailable.retain(|gateway| *gateway != index);
                     self.faults.gateways.set_suspended(index, false);
                     context.record_row(Row {
-                        k: Kind::Going,
-                        gw: index,
+                        kind: Kind::Going,
+                        gateway: index,
                         ..Row::default()
                     });
                 }
--- a/crates/tidewall-emulator/src/lib.rs
+++ b/crates/tidewall-emulator/src/lib.rs
@@ -102,7 +102,7 @@
 
     pub fn record_row(&mut self, row: Row) {
         let row = Row {
-            t: self.net.now(),
+            time: self.net.now(),
             ..row
         };
         self.write_line(&row);
--- a/crates/tidewall-emulator/src/roster.rs
+++ b/crates/tidewall-emulator/src/roster.rs
@@ -167,9 +167,9 @@
             let (status, incarnation, started_at) = self.published[worker];
             if scope == "whole" && status == WorkerStatus::Gone {
                 context.record_row(Row {
-                    k: Kind::Told,
-                    gw: gateway,
-                    wk: worker,
+                    kind: Kind::Told,
+                    gateway,
+                    worker,
                     ..Row::default()
                 });
                 continue;
@@ -200,9 +200,9 @@
                 }
             });
             context.record_row(Row {
-                k: Kind::Told,
-                gw: gateway,
-                wk: worker,
+                kind: Kind::Told,
+                gateway,
+                worker,
                 on: status == WorkerStatus::Active,
                 ..Row::default()
             });
@@ -222,8 +222,8 @@
         }
         for (_, gateway) in &self.subscribers {
             context.record_row(Row {
-                k: Kind::Lost,
-                gw: *gateway,
+                kind: Kind::Lost,
+                gateway: *gateway,
                 on: true,
                 ..Row::default()
             });
--- a/crates/tidewall-emulator/src/workers.rs
+++ b/crates/tidewall-emulator/src/workers.rs
@@ -5,7 +5,7 @@
 use slab::Slab;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tidewall_audit::rows::{Kind, Row, TRIES};
+use tidewall_audit::rows::{Kind, Row, ATTEMPTS_PER_REQUEST};
 use tidewall_config::Section;
 use tidewall_failover::leadership::{Fencing, Leadership, LeadershipAcceptor};
 use tidewall_lease::assignment::checksum;
@@ -332,10 +332,10 @@
                     return Ok(());
                 }
                 context.record_row(Row {
-                    k: Kind::Ordered,
-                    gw: gateway,
-                    wk: worker,
-                    copies: wanted,
+                    kind: Kind::Ordered,
+                    gateway,
+                    worker,
+                    instances: wanted,
                     ..Row::default()
                 });
                 let function = context.functions.iter().position(|p| p.name == name);
@@ -478,12 +478,12 @@
         }
         if !late {
             context.record_row(Row {
-                k: Kind::Acted,
-                gw: gateway,
-                wk: worker,
+                kind: Kind::Acted,
+                gateway,
+                worker,
                 task,
                 epoch,
-                life: incarnation,
+                incarnation,
                 on: done,
                 ..Row::default()
             });
@@ -584,11 +584,11 @@
             return Ok(());
         }
         context.record_row(Row {
-            k: Kind::Launched,
-            gw: gateway,
-            wk: worker,
-            evt: request_id,
-            typ: request_type,
+            kind: Kind::Launched,
+            gateway,
+            worker,
+            request_id,
+            request_type,
             work,
             ..Row::default()
         });
@@ -667,8 +667,8 @@
         let sum: f64 = state.recent_work.iter().map(|p| p.1).sum();
         if share < 1.0 && sum > multiple * share * state.cores * state.speed * window as f64 {
             context.record_row(Row {
-                k: Kind::Fell,
-                wk: worker,
+                kind: Kind::Fell,
+                worker,
                 ..Row::default()
             });
             state.fell_over = true;
@@ -754,10 +754,10 @@
         instances.idle_since = context.net.now();
         let request_type = context.functions[function].request_type;
         context.record_row(Row {
-            k: Kind::Ran,
-            wk: worker,
-            evt: request_id,
-            typ: request_type,
+            kind: Kind::Ran,
+            worker,
+            request_id,
+            request_type,
             ..Row::default()
         });
         self.finish(context, worker, key, "ok", instance_state);
@@ -787,9 +787,9 @@
         }
         let proven = matches!(outcome, "full" | "miss");
         context.record_row(Row {
-            k: Kind::Ended,
-            wk: worker,
-            evt: attempt.request_id,
+            kind: Kind::Ended,
+            worker,
+            request_id: attempt.request_id,
             proven,
             ..Row::default()
         });
@@ -1087,9 +1087,9 @@
         state.unsent_ends.retain(|s| s.0 != conn);
         unfinished.into_iter().for_each(|request_id| {
             context.record_row(Row {
-                k: Kind::Cut,
-                wk: worker,
-                evt: request_id,
+                kind: Kind::Cut,
+                worker,
+                request_id,
                 ..Row::default()
             })
         });
@@ -1106,9 +1106,9 @@
         for (conn, gateway) in conns {
             if gateway != usize::MAX {
                 context.record_row(Row {
-                    k: Kind::Lost,
-                    gw: gateway,
-                    wk: worker,
+                    kind: Kind::Lost,
+                    gateway,
+                    worker,
                     ..Row::default()
                 });
             }
@@ -1169,8 +1169,8 @@
         ) = (state.incarnation + 1, now, 0, 0, 1.0);
         let capacity = state.cores * state.speed;
         context.record_row(Row {
-            k: Kind::Started,
-            wk: worker,
+            kind: Kind::Started,
+            worker,
             capacity,
             from,
             left: cold,
@@ -1218,9 +1218,9 @@
             state.unsent_ends.retain(|s| s.0 != conn);
             unfinished.into_iter().for_each(|request_id| {
                 context.record_row(Row {
-                    k: Kind::Cut,
-                    wk: worker,
-                    evt: request_id,
+                    kind: Kind::Cut,
+                    worker,
+                    request_id,
                     ..Row::default()
                 })
             });
@@ -1241,9 +1241,9 @@
                 Frame::new(&mut context.buffer, kind::DRAINS).end();
                 context.net.write(conn, &context.buffer);
                 context.record_row(Row {
-                    k: Kind::Told,
-                    gw: gateway,
-                    wk: worker,
+                    kind: Kind::Told,
+                    gateway,
+                    worker,
                     ..Row::default()
                 });
             }
@@ -1265,5 +1265,5 @@
 
 /// The idempotency key of a request: all client attempts of one request have the same.
 pub fn idempotency_key(request_id: u64) -> u64 {
-    request_id / TRIES + 1
+    request_id / ATTEMPTS_PER_REQUEST + 1
 }
--- a/crates/tidewall-fault-tests/src/trial.rs
+++ b/crates/tidewall-fault-tests/src/trial.rs
@@ -240,11 +240,11 @@
             Ok(row) => row,
             Err(_) => break,
         };
-        if row.t < since {
+        if row.time < since {
             break;
         }
-        if row.k == Kind::Acted && row.on {
-            tasks.entry(row.task).or_insert(row.gw);
+        if row.kind == Kind::Acted && row.on {
+            tasks.entry(row.task).or_insert(row.gateway);
         }
     }
     tasks
--- a/crates/tidewall-sim/src/pair/runner.rs
+++ b/crates/tidewall-sim/src/pair/runner.rs
@@ -443,8 +443,8 @@
     /// The record's knowledge of a standstill, as of a kill, comes from whoever causes it.
     fn add_row(&self, kind: Kind) {
         let row = Row {
-            t: self.now(),
-            k: kind,
+            time: self.now(),
+            kind,
             ..Row::default()
         };
         let mut record = self.record.0.borrow_mut();
--- a/crates/tidewall-sim/tests/little_time_left.rs
+++ b/crates/tidewall-sim/tests/little_time_left.rs
@@ -133,20 +133,20 @@
         let Ok(row) = serde_json::from_slice::<Row>(line) else {
             continue;
         };
-        let seen = requests.entry(row.evt).or_default();
-        match row.k {
+        let seen = requests.entry(row.request_id).or_default();
+        match row.kind {
             Kind::Asked => {
-                seen.request_class = row.typ;
-                (seen.remaining, seen.deadline) = (row.left, row.t + row.left);
+                seen.request_class = row.request_type;
+                (seen.remaining, seen.deadline) = (row.left, row.time + row.left);
             }
-            Kind::Launched => seen.reached_worker_at = Some(row.t),
+            Kind::Launched => seen.reached_worker_at = Some(row.time),
             Kind::Answered if !row.deferred => {
                 let attempted = seen
                     .reached_worker_at
                     .is_some_and(|at| (SILENT_FROM..HANGS_AT).contains(&at));
-                let while_it_hung = (HANGS_AT..HANGS_AT + HANG).contains(&row.t);
+                let while_it_hung = (HANGS_AT..HANGS_AT + HANG).contains(&row.time);
                 if attempted && while_it_hung && UNSAFE_CLASSES.contains(&seen.request_class) {
-                    delays.push(row.t.saturating_sub(bound(seen)));
+                    delays.push(row.time.saturating_sub(bound(seen)));
                 }
             }
             _ => {}
--- a/crates/tidewall-sim/tests/table.rs
+++ b/crates/tidewall-sim/tests/table.rs
@@ -3,7 +3,7 @@
 //! a run of the same seed without the fault, which is the same up to there.
 use std::sync::OnceLock;
 use test_case::{test_case, test_matrix};
-use tidewall_audit::rows::{Kind, Row, TRIES};
+use tidewall_audit::rows::{Kind, Row, ATTEMPTS_PER_REQUEST};
 use tidewall_net::memory::Path;
 use tidewall_net::Time;
 use tidewall_sim::pair::{self, Trouble};
@@ -113,28 +113,42 @@
     static RESTARTED: OnceLock<Vec<Row>> = OnceLock::new();
     if stage == Stage::Restarting {
         let rows = RESTARTED.get_or_init(|| rows(RESTART));
-        let at = |k| rows.iter().find(|r| r.k == k).map(|r| (r.t, r.gw)).unwrap();
+        let at = |k| {
+            rows.iter()
+                .find(|r| r.kind == k)
+                .map(|r| (r.time, r.gateway))
+                .unwrap()
+        };
         let ((down, gw), (up, _)) = (at(Kind::Killed), at(Kind::Up));
         return vec![(down + 1, (gw + 1) % 3), (up + 3, gw), (up + 500, gw)];
     }
     let rows = PLAIN.get_or_init(|| rows(""));
-    let of = |k: Kind| rows.iter().filter(move |r| r.k == k);
+    let of = |k: Kind| rows.iter().filter(move |r| r.kind == k);
     let all: Vec<(Time, usize)> = match stage {
-        Stage::Taken => of(Kind::Asked).map(|r| (r.t + 2, r.gw)).collect(),
+        Stage::Taken => of(Kind::Asked).map(|r| (r.time + 2, r.gateway)).collect(),
         Stage::Held => {
-            let launched = |evt| of(Kind::Launched).find(|r| r.evt == evt).map(|r| r.t);
-            let held = of(Kind::Asked).filter_map(|r| Some((r.t, r.gw, launched(r.evt)?)));
+            let launched = |evt| {
+                of(Kind::Launched)
+                    .find(|r| r.request_id == evt)
+                    .map(|r| r.time)
+            };
+            let held =
+                of(Kind::Asked).filter_map(|r| Some((r.time, r.gateway, launched(r.request_id)?)));
             held.filter(|(asked, _, at)| *at > asked + 200)
                 .map(|(asked, gw, at)| ((asked + at) / 2, gw))
                 .collect()
         }
         Stage::Ordered => of(Kind::Ordered)
-            .filter(|r| r.copies > 0)
-            .map(|r| (r.t + 1, r.gw))
+            .filter(|r| r.instances > 0)
+            .map(|r| (r.time + 1, r.gateway))
+            .collect(),
+        Stage::Launched => of(Kind::Launched)
+            .map(|r| (r.time + 1, r.gateway))
+            .collect(),
+        Stage::Ended => of(Kind::Ended).map(|r| (r.time + 1, r.gateway)).collect(),
+        Stage::Answered => of(Kind::Answered)
+            .map(|r| (r.time + 1, r.gateway))
             .collect(),
-        Stage::Launched => of(Kind::Launched).map(|r| (r.t + 1, r.gw)).collect(),
-        Stage::Ended => of(Kind::Ended).map(|r| (r.t + 1, r.gw)).collect(),
-        Stage::Answered => of(Kind::Answered).map(|r| (r.t + 1, r.gw)).collect(),
         Stage::Restarting => unreachable!("it has moments of its own"),
     };
     assert!(all.len() > 8, "{stage:?} was met {} times", all.len());
@@ -310,14 +324,17 @@
             .skip(1)
             .map(|l| serde_json::from_str::<Row>(l).unwrap());
         let mut launched: Vec<u64> = rows
-            .filter(|r| r.k == Kind::Launched)
-            .map(|r| r.evt)
+            .filter(|r| r.kind == Kind::Launched)
+            .map(|r| r.request_id)
             .collect();
         launched.sort_unstable();
         let most = |same: fn(&u64, &u64) -> bool| {
             launched.chunk_by(same).map(<[_]>::len).max().unwrap_or(0)
         };
-        let (per_try, per_event) = (most(|a, b| a == b), most(|a, b| a / TRIES == b / TRIES));
+        let (per_try, per_event) = (
+            most(|a, b| a == b),
+            most(|a, b| a / ATTEMPTS_PER_REQUEST == b / ATTEMPTS_PER_REQUEST),
+        );
         let lives = 1 + report.takeovers as usize * usize::from(pair);
         assert!(
             per_try <= 3 * lives && per_event <= 9 * lives,
