--- a/crates/tidewall-amqp-ingress/tests/triggers.rs
+++ b/crates/tidewall-amqp-ingress/tests/triggers.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use test_case::test_case;
 use tidewall_amqp_ingress::Amqp;
-use tidewall_emulator::terminal::{Heard, Terminal};
+use tidewall_emulator::terminal::{AmqpClient, AmqpClientHandler};
 use tidewall_net::memory::{self, Memory};
 use tidewall_net::{App, CloseReason, Conn, Listener, Net, Time};
 use tidewall_wire::kind;
@@ -24,7 +24,7 @@
     confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Observed {
+impl AmqpClientHandler for Observed {
     fn ready(&mut self) {
         self.ready = true;
     }
@@ -41,7 +41,7 @@
 struct Publisher {
     net: Memory,
     conn: Option<Conn>,
-    terminal: Terminal,
+    terminal: AmqpClient,
     observed: Observed,
     errors: Vec<String>,
 }
@@ -122,7 +122,7 @@
     let publisher = |_| Publisher {
         net: Memory::join(&site.world),
         conn: None,
-        terminal: Terminal::default(),
+        terminal: AmqpClient::default(),
         observed: Observed::default(),
         errors: Vec::new(),
     };
@@ -343,7 +343,7 @@
 fn a_connection_is_reset_at_every_byte_of_a_publish() {
     let mut fixture = new_fixture(&[Behavior::Answers], 2, "");
     let mut publish_frames = Vec::new();
-    Terminal::default().publish(&mut publish_frames, 7, "issue.f", 1_500, 70, false, b"body");
+    AmqpClient::default().publish(&mut publish_frames, 7, "issue.f", 1_500, 70, false, b"body");
     for length in 0..publish_frames.len() {
         let conn = fixture.publishers[0].conn.unwrap();
         fixture.publishers[0]
--- a/crates/tidewall-audit/tests/help/mod.rs
+++ b/crates/tidewall-audit/tests/help/mod.rs
@@ -2,14 +2,14 @@
 use tidewall_audit::rows::{Group, Kind, Row, Rules, Type};
 use tidewall_audit::Audit;
 
-/// Types: 0 redeliverable, 1 keyed in a zone for 4 s, 2 at-most-once, 3 keyed among all for 1 s. Workers 0 and
-/// 1 stand in zone 0, worker 2 in zone 1.
-pub fn audit() -> Audit {
-    audit_of(false)
+/// Request types: 0 redeliverable, 1 keyed by zone for 4 s, 2 at-most-once, 3 keyed among all workers for 1 s.
+/// Workers 0 and 1 are in zone 0, worker 2 is in zone 1.
+pub fn audit_without_pair() -> Audit {
+    audit_with(false)
 }
 
-/// The same; gateway 0 is a pair behind one address.
-pub fn audit_of(pair: bool) -> Audit {
+/// The same rules; with `pair`, gateway 0 is a failover pair behind one address.
+pub fn audit_with(pair: bool) -> Audit {
     Audit::new(Rules {
         types: vec![
             Type::Redeliverable,
@@ -33,55 +33,66 @@
     })
 }
 
-pub fn row(t: u64, k: Kind, evt: u64) -> Row {
+/// A row of gateway 0 and worker 0; a request has a timeout of 3 s.
+pub fn row(time: u64, kind: Kind, request_id: u64) -> Row {
     Row {
-        t,
-        k,
-        evt,
-        left: if k == Kind::Asked { 30_000 } else { 0 },
+        time,
+        kind,
+        request_id,
+        left: if kind == Kind::Asked { 30_000 } else { 0 },
         ..Row::default()
     }
 }
 
-/// An act of a gateway's life on task 4, under an epoch.
-pub fn acted(t: u64, gw: usize, life: u64, epoch: u64, wk: usize, on: bool) -> Row {
+/// An effect of task 4, sent by an incarnation of a gateway under an epoch.
+pub fn task_effect(
+    time: u64,
+    gateway: usize,
+    incarnation: u64,
+    epoch: u64,
+    worker: usize,
+    on: bool,
+) -> Row {
     Row {
-        t,
-        k: Kind::Acted,
-        gw,
-        wk,
+        time,
+        kind: Kind::Acted,
+        gateway,
+        worker,
         task: 4,
         epoch,
-        life,
+        incarnation,
         on,
         ..Row::default()
     }
 }
 
-pub fn asked(t: u64, evt: u64, typ: usize) -> Row {
+/// A client sends a request of a type.
+pub fn request(time: u64, request_id: u64, request_type: usize) -> Row {
     Row {
-        typ,
-        ..row(t, Kind::Asked, evt)
+        request_type,
+        ..row(time, Kind::Asked, request_id)
     }
 }
 
-pub fn at(t: u64, k: Kind, evt: u64, wk: usize) -> Row {
+pub fn row_at_worker(time: u64, kind: Kind, request_id: u64, worker: usize) -> Row {
     Row {
-        wk,
-        ..row(t, k, evt)
+        worker,
+        ..row(time, kind, request_id)
     }
 }
 
-pub fn proven(t: u64, evt: u64, wk: usize) -> Row {
+/// The end of an attempt at a worker, with the proof that it was not executed.
+pub fn not_executed(time: u64, request_id: u64, worker: usize) -> Row {
     Row {
         proven: true,
-        ..at(t, Kind::Ended, evt, wk)
+        ..row_at_worker(time, Kind::Ended, request_id, worker)
     }
 }
 
-pub fn deferred(t: u64, evt: u64) -> Row {
+/// An answer that defers the request.
+pub fn rejected(time: u64, request_id: u64) -> Row {
     Row {
         deferred: true,
-        ..row(t, Kind::Answered, evt)
+        ..row(time, Kind::Answered, request_id)
     }
 }
--- a/crates/tidewall-benchmarks/src/terminals.rs
+++ b/crates/tidewall-benchmarks/src/terminals.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Instant;
-use tidewall_emulator::terminal::{Heard, Terminal};
+use tidewall_emulator::terminal::{AmqpClient, AmqpClientHandler};
 use tidewall_net::mio::Mio;
 use tidewall_net::{App, CloseReason, Conn, Listener, Net};
 
@@ -14,7 +14,7 @@
     confirms: Vec<(u64, bool)>,
 }
 
-impl Heard for Observed {
+impl AmqpClientHandler for Observed {
     fn ready(&mut self) {
         self.ready += 1;
     }
@@ -27,7 +27,7 @@
 /// AMQP clients that publish at a fixed rate, or with a fixed number of unconfirmed publishes.
 pub struct AmqpClients {
     net: Mio,
-    conns: Vec<(Conn, Terminal)>,
+    conns: Vec<(Conn, AmqpClient)>,
     ready: usize,
     rate: f64,
     window: usize,
@@ -53,7 +53,7 @@
     ) -> std::io::Result<AmqpClients> {
         let mut net = Mio::new()?;
         let conns = (0..connections)
-            .map(|_| (net.connect(to, 50_000), Terminal::default()))
+            .map(|_| (net.connect(to, 50_000), AmqpClient::default()))
             .collect();
         Ok(AmqpClients {
             net,
--- a/crates/tidewall-cli/src/day.rs
+++ b/crates/tidewall-cli/src/day.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    fn still(&mut self, index: usize, on: bool) {
+    fn set_suspended(&mut self, index: usize, on: bool) {
         self.signal(index, if on { libc::SIGSTOP } else { libc::SIGCONT });
     }
 }
@@ -153,8 +153,8 @@
         self.0.borrow_mut().start(index);
     }
 
-    fn still(&mut self, index: usize, on: bool) {
-        self.0.borrow_mut().still(index, on);
+    fn set_suspended(&mut self, index: usize, on: bool) {
+        self.0.borrow_mut().set_suspended(index, on);
     }
 
     fn members(&self) -> Option<usize> {
@@ -382,9 +382,9 @@
         amqp: args.door == ClientProtocol::Amqp,
         record: Box::new(BufWriter::new(File::create(&record).map_err(failed)?)),
         gateways: Box::new(SharedProcesses(processes.clone())),
-        fences: true,
-        forgets: false,
-        task_epochs: true,
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet = Fleet::new(net, settings, Some(script), plan).map_err(input)?;
@@ -401,7 +401,7 @@
     let (results, loads) = (fleet.results().clone(), fleet.loads());
     print_tables(&results, loads, &audit);
     if args.pair {
-        print_pauses(fleet.pauses(), &results, &audit);
+        print_pauses(fleet.outages(), &results, &audit);
     }
     if let Some(path) = &args.report {
         write_report(path, args.seed, seconds, &results, loads, &audit).map_err(failed)?;
@@ -469,9 +469,9 @@
         ("lost with a killed gateway", r.broken as f64),
         ("gateway unreachable", r.unreachable as f64),
         ("confirms", r.confirms as f64),
-        ("let go by terminals", r.let_go as f64),
-        ("published twice", r.twins as f64),
-        ("further logins", r.guests as f64),
+        ("let go by terminals", r.given_up_requests as f64),
+        ("published twice", r.duplicates as f64),
+        ("further logins", r.extra_logins as f64),
         ("service", (r.service() * 10_000.0).round() / 10_000.0),
         ("latency p50, ms", latency(0.5)),
         ("latency p99, ms", latency(0.99)),
--- a/crates/tidewall-cli/src/serve.rs
+++ b/crates/tidewall-cli/src/serve.rs
@@ -221,13 +221,13 @@
         amqp: false,
         record,
         gateways: Box::new(NoGateways),
-        fences: true,
-        forgets: false,
-        task_epochs: true,
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet = Fleet::new(net, &settings, None, plan).map_err(input)?;
-    info!(roster = %fleet.roster_at(), "emulated fleet started");
+    info!(roster = %fleet.discovery_server_address(), "emulated fleet started");
     mio::run(&mut fleet).map_err(|e| Failure::Run(e.to_string()))?;
     fleet.flush();
     Ok(())
--- a/crates/tidewall-fault-tests/src/trial.rs
+++ b/crates/tidewall-fault-tests/src/trial.rs
@@ -119,7 +119,7 @@
 impl Gateways for NoopGateways {
     fn kill(&mut self, _: usize) {}
     fn start(&mut self, _: usize) {}
-    fn still(&mut self, _: usize, _: bool) {}
+    fn set_suspended(&mut self, _: usize, _: bool) {}
 }
 
 /// The path of the shipped program in the folder of this test; cargo builds it once if it is not up to date.
@@ -250,11 +250,11 @@
             Ok(row) => row,
             Err(_) => break,
         };
-        if row.t < since {
+        if row.time < since {
             break;
         }
-        if row.k == Kind::Acted && row.on {
-            tasks.entry(row.task).or_insert(row.gw);
+        if row.kind == Kind::Acted && row.on {
+            tasks.entry(row.task).or_insert(row.gateway);
         }
     }
     tasks
@@ -298,9 +298,9 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(NoopGateways),
-        fences: true,
-        forgets: false,
-        task_epochs: setup.disabled_safeguard != "no-epochs",
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: setup.disabled_safeguard != "no-epochs",
         wild_clocks: setup.clocks_out_of_bounds,
     };
     let mut fleet = Fleet::new(Mio::new().expect("a net"), &parsed, None, plan)
@@ -322,7 +322,7 @@
             .expect("the trial waits for the addresses");
         mio::run(&mut relay).expect("the relay runs");
     });
-    fleet.fronts(&relay_addresses.recv().expect("the relay has started"));
+    fleet.set_endpoint_addresses(&relay_addresses.recv().expect("the relay has started"));
     let children = (0..MEMBERS).map(|_| None).collect();
     let mut processes = Processes {
         dir,
@@ -369,7 +369,7 @@
                     .is_some_and(|c| c.try_wait().expect("the child can be waited for").is_some());
             if has_ended {
                 processes.terminating[m] = false;
-                fleet.killed(m, true);
+                fleet.record_killed(m, true);
                 processes.kill(m);
                 ended_at.insert(m, Instant::now());
             }
@@ -379,7 +379,7 @@
             {
                 ended_at.remove(&m);
                 processes.start(m);
-                fleet.killed(m, false);
+                fleet.record_killed(m, false);
             }
         }
         if elapsed_ms >= setup.min_duration_ms
@@ -485,20 +485,20 @@
 ) {
     match step {
         Step::Kill(m) => {
-            fleet.killed(*m, true);
+            fleet.record_killed(*m, true);
             processes.kill(*m);
         }
         Step::Start(m) => {
             processes.start(*m);
-            fleet.killed(*m, false);
+            fleet.record_killed(*m, false);
         }
         Step::Pause(m) => {
-            fleet.apart(*m, true);
+            fleet.record_partitioned(*m, true);
             processes.signal(*m, libc::SIGSTOP);
         }
         Step::Resume(m) => {
             processes.signal(*m, libc::SIGCONT);
-            fleet.apart(*m, false);
+            fleet.record_partitioned(*m, false);
         }
         Step::Terminate(m) => {
             processes.signal(*m, libc::SIGTERM);
--- a/crates/tidewall-interop/tests/amqprs.rs
+++ b/crates/tidewall-interop/tests/amqprs.rs
@@ -66,9 +66,9 @@
             amqp: false,
             record: Box::new(std::io::sink()),
             gateways: Box::new(NoGateways),
-            fences: true,
-            forgets: false,
-            task_epochs: true,
+            checks_epochs: true,
+            forgets_votes: false,
+            checks_task_epochs: true,
             wild_clocks: false,
         };
         let mut fleet = Fleet::new(Mio::new().unwrap(), &parsed, None, plan).unwrap();
--- a/crates/tidewall-sim/src/fleet.rs
+++ b/crates/tidewall-sim/src/fleet.rs
@@ -307,7 +307,7 @@
 impl Gateways for IgnoreCommands {
     fn kill(&mut self, _: usize) {}
     fn start(&mut self, _: usize) {}
-    fn still(&mut self, _: usize, _: bool) {}
+    fn set_suspended(&mut self, _: usize, _: bool) {}
 }
 
 /// One gateway process: its event loop, its lease task and its executor task; `nets` are their network
@@ -488,9 +488,9 @@
             amqp: false,
             record: Box::new(record.clone()),
             gateways: Box::new(IgnoreCommands),
-            fences: true,
-            forgets: false,
-            task_epochs: setup.omitted != OmittedSafeguard::NoEpochs,
+            checks_epochs: true,
+            forgets_votes: false,
+            checks_task_epochs: setup.omitted != OmittedSafeguard::NoEpochs,
             wild_clocks: clocks_beyond_bound,
         };
         let fleet = Fleet::new(fleet_net.clone(), &settings, None, plan)
@@ -588,7 +588,7 @@
         self.totals.datagrams += process.lease_task.counters.datagrams_sent.get();
         self.totals.full += process.lease_task.dropped_commands();
         if !process.loop_ended {
-            self.fleet.killed(member, true);
+            self.fleet.record_killed(member, true);
         }
     }
 
@@ -596,7 +596,7 @@
         let process = &self.processes[member];
         let (nets, incarnation) = (process.nets.clone(), process.incarnation + 100);
         nets.iter().for_each(|net| net.restart());
-        self.fleet.killed(member, false);
+        self.fleet.record_killed(member, false);
         self.processes[member] =
             start_process(&self.setup, &self.settings, &nets, member, incarnation);
         self.list_workers(member);
@@ -615,7 +615,7 @@
         if part == ProcessPart::All
             && std::mem::replace(&mut self.processes[member].stalled, on) != on
         {
-            self.fleet.apart(member, on);
+            self.fleet.record_partitioned(member, on);
         }
         let process = &self.processes[member];
         parts.for_each(|i| process.nets[i].still(on));
@@ -807,7 +807,7 @@
                 // The event loop's connections end with it.
                 process.loop_ended = true;
                 process.nets[0].kill();
-                self.fleet.killed(member, true);
+                self.fleet.record_killed(member, true);
             }
             let process = &self.processes[member];
             let drained = process
--- a/crates/tidewall-sim/src/pair/runner.rs
+++ b/crates/tidewall-sim/src/pair/runner.rs
@@ -198,10 +198,10 @@
             asked_again: results.asked_again,
             excused: audit.excused,
             takeovers: self.takeovers,
-            refused: self.fleet.refused(),
+            refused: self.fleet.fenced_attempts(),
             service: results.service(),
             // The first outage is the time before a member became active after the start.
-            pauses: self.fleet.pauses().get(1..).unwrap_or(&[]).to_vec(),
+            pauses: self.fleet.outages().get(1..).unwrap_or(&[]).to_vec(),
             cases: std::array::from_fn(|rule| audit.verdicts[rule].cases),
             breaches: breaches(&audit),
             faults: self.faults,
@@ -237,9 +237,9 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(NoGateways),
-        fences: setup.omitted != OmittedSafeguard::NoFences,
-        forgets: setup.omitted == OmittedSafeguard::Forgets,
-        task_epochs: true,
+        checks_epochs: setup.omitted != OmittedSafeguard::NoFences,
+        forgets_votes: setup.omitted == OmittedSafeguard::Forgets,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     Fleet::new(net.clone(), &settings(0, setup), Some(&script), plan)
@@ -452,8 +452,8 @@
     /// it.
     fn add_row(&self, kind: Kind) {
         let row = Row {
-            t: self.now(),
-            k: kind,
+            time: self.now(),
+            kind,
             ..Row::default()
         };
         let mut record = self.record.0.borrow_mut();
--- a/crates/tidewall-sim/src/site.rs
+++ b/crates/tidewall-sim/src/site.rs
@@ -90,7 +90,7 @@
     fn start(&mut self, gw: usize) {
         self.0.borrow_mut().push_back(GatewayCommand::Start(gw));
     }
-    fn still(&mut self, gw: usize, on: bool) {
+    fn set_suspended(&mut self, gw: usize, on: bool) {
         self.0.borrow_mut().push_back(GatewayCommand::Stall(gw, on));
     }
 }
@@ -414,9 +414,9 @@
         amqp: false,
         record: Box::new(record.clone()),
         gateways: Box::new(commands.clone()),
-        fences: true,
-        forgets: false,
-        task_epochs: true,
+        checks_epochs: true,
+        forgets_votes: false,
+        checks_task_epochs: true,
         wild_clocks: false,
     };
     let mut fleet = Fleet::new(fleet_net.clone(), &settings, Some(&parsed_script), plan)
@@ -512,7 +512,7 @@
         while let Some((_, begins, fault, gw)) = due.pop_if(|d| d.0 <= world.borrow().now()) {
             match fault {
                 GatewayFault::Cut => {
-                    fleet.apart(gw, begins);
+                    fleet.record_partitioned(gw, begins);
                     let cut = Path {
                         cut: begins,
                         ..path
@@ -533,7 +533,7 @@
                 GatewayFault::MalformedInput => {}
                 _ if begins => {
                     if fault != GatewayFault::UnrecordedKill {
-                        fleet.killed(gw, true);
+                        fleet.record_killed(gw, true);
                     }
                     gateway_nets[gw].kill();
                     let mut disk = disks[gw].0.borrow_mut();
@@ -549,7 +549,7 @@
                 _ => {
                     restarts += 1;
                     if fault != GatewayFault::UnrecordedKill {
-                        fleet.killed(gw, false);
+                        fleet.record_killed(gw, false);
                     }
                     gateway_nets[gw].restart();
                     let seed = seed * 1_000 + 10 * restarts + gw as u64;
--- a/crates/tidewall-sim/tests/little_time_left.rs
+++ b/crates/tidewall-sim/tests/little_time_left.rs
@@ -133,20 +133,20 @@
         let Ok(row) = serde_json::from_slice::<Row>(line) else {
             continue;
         };
-        let observed = requests.entry(row.evt).or_default();
-        match row.k {
+        let observed = requests.entry(row.request_id).or_default();
+        match row.kind {
             Kind::Asked => {
-                observed.request_class = row.typ;
-                (observed.remaining, observed.deadline) = (row.left, row.t + row.left);
+                observed.request_class = row.request_type;
+                (observed.remaining, observed.deadline) = (row.left, row.time + row.left);
             }
-            Kind::Launched => observed.reached_worker_at = Some(row.t),
+            Kind::Launched => observed.reached_worker_at = Some(row.time),
             Kind::Answered if !row.deferred => {
                 let attempted = observed
                     .reached_worker_at
                     .is_some_and(|at| (SILENT_FROM..FAULT_AT).contains(&at));
-                let while_it_hung = (FAULT_AT..FAULT_AT + FAULT_LENGTH).contains(&row.t);
+                let while_it_hung = (FAULT_AT..FAULT_AT + FAULT_LENGTH).contains(&row.time);
                 if attempted && while_it_hung && UNSAFE_CLASSES.contains(&observed.request_class) {
-                    delays.push(row.t.saturating_sub(bound(observed)));
+                    delays.push(row.time.saturating_sub(bound(observed)));
                 }
             }
             _ => {}
