--- a/crates/tidewall-cli/tests/thousands_of_workers.rs
+++ b/crates/tidewall-cli/tests/thousands_of_workers.rs
@@ -30,9 +30,9 @@
 /// How long after a call clients cancel it, if they do.
 const CANCELLED_AFTER: Duration = ms(150);
 
-/// When nothing more may be sent to a drained worker: the drain grace period of the settings (2 s) and the 50
-/// ms of every limit. The 7 s after which a list that was not polled counts as known are not added, as the
-/// board is polled all the time.
+/// When nothing more may be sent to a drained worker: the drain grace period of the settings (2 s) and the
+/// 50 ms of transmission slack that every limit allows. The 7 s after which a list that was not polled counts
+/// as known are not added, as the board is polled all the time.
 const DRAINED_AFTER: Duration = ms(2_050);
 
 const REQUESTS_A_SECOND: u64 = 150;
--- a/crates/tidewall-fault-tests/src/relay.rs
+++ b/crates/tidewall-fault-tests/src/relay.rs
@@ -238,7 +238,8 @@
     }
 
     fn connected(&mut self, conn: Conn) {
-        // Bytes that arrived before the connection was established were held back.
+        // `forward` holds bytes back while the link is cut. Sends those held so far, which may have arrived
+        // before the connection was established, even if the link is still cut.
         for bytes in self.held_bytes.remove(&conn).unwrap_or_default() {
             self.net.write(conn, &bytes);
         }
--- a/crates/tidewall-gateway/src/failover/peer_link.rs
+++ b/crates/tidewall-gateway/src/failover/peer_link.rs
@@ -167,7 +167,7 @@
                 Ok(())
             }
             other => {
-                let problem = format!("{other} is neither {PEER_ROLE} nor {STATUS_ROLE}");
+                let problem = format!("{other} is not heard here");
                 Err(WireError::invalid(Field::Role, problem).into())
             }
         }
@@ -313,7 +313,7 @@
         let replicator = self.context.expect_replicator();
         let acknowledged = replicator.sequence_base + sequence;
         if acknowledged > replicator.last_sequence {
-            let problem = format!("record {sequence} was never sent");
+            let problem = format!("{sequence} was never told");
             return Err(WireError::invalid(Field::Seq, problem).into());
         }
         replicator.acknowledged_sequence = replicator.acknowledged_sequence.max(acknowledged);
--- a/src/choice/load_requests.rs
+++ b/src/choice/load_requests.rs
@@ -117,7 +117,7 @@
     /// Marks the function as confirmed if the outcome shows that the worker knows it. From then on its
     /// requests count for the rate limit, and its open requests count as of their arrival. Without this,
     /// hundreds of calls of unknown functions that are cancelled or rejected at once would admit load
-    /// requests, although the users do not count such calls.
+    /// requests, although such calls do not count for the limit that the operators require.
     pub(super) fn confirm_function(&mut self, function_id: FunctionId, outcome: Outcome) {
         let is_known = matches!(outcome, Outcome::Ok | Outcome::Miss);
         if !is_known || std::mem::replace(&mut self.functions[function_id].confirmed, true) {
--- a/src/choice/outcomes.rs
+++ b/src/choice/outcomes.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Retries or ends a request after a failed attempt, as the users do: up to two further attempts, none
-    /// while this gateway sees overload.
+    /// Retries or ends a request after a failed attempt, as the operators require: up to two further
+    /// attempts, none while this gateway sees overload.
     fn retry_or_reject(&mut self, slot: RequestSlot, outcome: Outcome) {
         let is_miss = outcome == Outcome::Miss;
         let may_retry = is_miss || self.requests[slot].retries < 2 && !self.is_overloaded();
--- a/src/choice/outliers.rs
+++ b/src/choice/outliers.rs
@@ -28,11 +28,11 @@
         }
     }
 
-    /// Counts a failure of a worker. As the users do, it is judged by consecutive failures. Late answers
-    /// count, so slow, hanging, silent and refusing workers are treated alike. After three failures it is
-    /// ejected, each time for twice as long, and returns on trial. Never more than a third of the workers are
-    /// ejected, and none while the gateway sees overload: lateness is not the worker's fault then, and
-    /// ejection makes the overload worse.
+    /// Counts a failure of a worker. As the operators require, a worker is judged by consecutive failures.
+    /// Late answers count, so slow, hanging, silent and refusing workers are treated alike. After three
+    /// failures it is ejected, each time for twice as long, and returns on trial. Never more than a third of
+    /// the workers are ejected, and none while the gateway sees overload: lateness is not the worker's fault
+    /// then, and ejection makes the overload worse.
     pub(super) fn record_failure(&mut self, worker_id: WorkerId) {
         let (now, overloaded) = (self.now, self.is_overloaded());
         let count = self.workers.active().0 as usize;
--- a/src/choice/tests/load_checks.rs
+++ b/src/choice/tests/load_checks.rs
@@ -14,7 +14,7 @@
     assert_eq!(attempted_workers(&scheduler), [worker_at(&scheduler, 0, position)]);
 }
 
-// From incidents in a large deployment named "remote": reports came seconds late, and all gateways acted on
+// From incidents in a large deployment: reports came seconds late, and all gateways acted on
 // the same reports.
 #[test_case(2, 0; "as many as reported")]
 #[test_case(9, 1; "far more than reported")]
--- a/src/choice/tests/load_requests.rs
+++ b/src/choice/tests/load_requests.rs
@@ -96,7 +96,8 @@
 }
 
 // From the fleet's "join" day: 200 calls of one function that no worker knows, each rejected at once, beside
-// 48 requests of the users: "17 LOAD orders within 10.0 s, in which it took 48 requests".
+// 48 requests that count for the limit as the operators require it: "17 LOAD orders within 10.0 s, in which it
+// took 48 requests".
 #[test_case(None, false; "in unknown state")]
 #[test_case(Some(Outcome::Error), false; "that workers answer with an error")]
 #[test_case(Some(Outcome::AtCapacity), false; "rejected without looking")]
--- a/src/choice/tests/placements.rs
+++ b/src/choice/tests/placements.rs
@@ -16,8 +16,8 @@
     assert_eq!(order(&a), order(&b));
 }
 
-// At the start of the "lamphun" deployment no instance was known, and the rate limit did not allow load
-// requests yet.
+// At the start of a large deployment no instance was known, and the rate limit did not allow load requests
+// yet.
 #[test]
 fn an_unknown_function_is_queried_and_used_where_it_is_loaded() {
     let mut scheduler = scheduler_with(3, &[("extra.load-window-ms", "10000")]);
--- a/src/choice/tests/ramp.rs
+++ b/src/choice/tests/ramp.rs
@@ -1,6 +1,6 @@
 //! Slow start across a whole fleet: many gateways run the scheduler as shipped, and half of the workers
 //! restart at one moment. In no window may all gateways together send a cold worker more than it can take,
-//! plus an allowance for chance as the users have it.
+//! plus the allowance for chance that the operators' requirements grant.
 use super::help::*;
 use super::*;
 use std::cmp::Reverse;
--- a/src/choice/tests/selection.rs
+++ b/src/choice/tests/selection.rs
@@ -53,7 +53,7 @@
     assert_eq!(attempted_workers(&scheduler).len(), usize::from(found));
 }
 
-// From the first incident of the large "lamphun" deployment: reports of busy cores did not show queued
+// From the first incident in a large deployment: reports of busy cores did not show queued
 // requests, but this gateway's own answers did.
 #[test_case(NOW, 1; "recent own answers count")]
 #[test_case(NOW - 3 * SECOND, 0; "old ones do not")]
