--- a/crates/tidewall-audit/src/answers.rs
+++ b/crates/tidewall-audit/src/answers.rs
@@ -93,7 +93,8 @@
             let text = format!("event {id} was answered and never asked");
             return self.breach(Rule::FinalAnswer, now, text);
         };
-        // A gateway that was stopped hears of it when it goes on, behind what came before it.
+        // A gateway whose process was stopped when the client gave up reads this only after it continues,
+        // behind the messages that arrived earlier. Until then its answer may cross the client's message.
         let stop = self.availability.last_stop(request.gateway);
         let crossed = request
             .abandoned_at
--- a/crates/tidewall-audit/src/availability.rs
+++ b/crates/tidewall-audit/src/availability.rs
@@ -22,7 +22,8 @@
         self.end == Time::MAX && time >= self.start
     }
 
-    /// When a gateway that was stopped in the meantime hears of what happened at that time.
+    /// The earliest time at which the gateway can read what was sent to it at `time`: the end of this stop, if
+    /// `time` lies within it, and `time` itself otherwise.
     pub(crate) fn heard_at(self, time: Time) -> Time {
         if time >= self.start {
             time.max(self.end)
--- a/crates/tidewall-audit/src/tasks.rs
+++ b/crates/tidewall-audit/src/tasks.rs
@@ -86,8 +86,9 @@
         }
     }
 
-    /// Whether a grantor may have lost what it granted to whoever acted first at that time: two majorities may meet in
-    /// that one alone, and the next epoch is then no higher one. Leases that run are not lost with it.
+    /// Whether a grantor may have lost what it granted to the holder that first acted at `since`. That grantor
+    /// may be the only one that two majorities share, and the next epoch is then not higher. Leases that run
+    /// are not lost with it.
     fn grantor_forgot(&self, since: Time) -> bool {
         let mut kills = self.grantor_kills.iter();
         kills.any(|killed_at| killed_at + self.rules.term >= since)
--- a/crates/tidewall-gateway/src/ingress.rs
+++ b/crates/tidewall-gateway/src/ingress.rs
@@ -25,7 +25,7 @@
 pub const NO_REQUEST_SLOT: usize = usize::MAX;
 
 /// How long after the deadline a response is still sent: 25 ms. A client's timers are not more precise on a
-/// busy machine, and half of the 50 ms that the protocol pages allow remains for the transmission. After a
+/// busy machine, and half of the 50 ms that the protocol allows remains for the transmission. After a
 /// longer delay nothing may be sent.
 pub const LATE_RESPONSE_GRACE: Time = 250;
 
