--- a/crates/tidewall-sim/tests/found_by_long_runs.rs
+++ b/crates/tidewall-sim/tests/found_by_long_runs.rs
@@ -179,3 +179,12 @@
 fn fleet_924_leases_are_held_again_after_a_field_at_its_greatest() {
     assert_leases_are_held_again(924, 288, Mutation::Greatest(4));
 }
+
+/// Guards against an integer overflow where a grantor refuses a lease with the largest remaining time: the sum with the present
+/// time panics in a build that checks arithmetic.
+#[test]
+fn fleet_0_a_refusal_with_the_largest_remaining_time_does_not_overflow() {
+    let smallest = fleet::Setup::smallest(0);
+    let report = mutate::play(&smallest, 70, Mutation::Largest(15));
+    assert_eq!(report.breaches, Vec::<String>::new());
+}
